--- a/statements/include/goldcrest/statements/statement.h
+++ b/statements/include/goldcrest/statements/statement.h
@@ -37,7 +37,7 @@
 //! What an entry sends on a connection to an endpoint.
 struct EndpointCommand {
   enum class Kind {
-    kCaller,  //!< `text` of a caller, with its `id`.
+    kCallerStatement,  //!< `text` of a caller, with its `id`.
     kBegin,
     kBeginReadOnly,
     kRollback,
@@ -47,14 +47,14 @@
     kExecute,  //!< `name`, `value`: the arguments, with the caller's `id`.
     kStatus,
   };
-  Kind kind = Kind::kCaller;
+  Kind kind = Kind::kCallerStatement;
   std::string id;  //!< Of the caller's statement; empty: issued by the entry.
   std::string text;
   std::string name;
   std::string value;
   bool writes = false;
   //! The endpoint refuses unless its log has reached this.
-  std::optional<LogPosition> after;
+  std::optional<LogPosition> required_position;
 };
 
 //! How a statement ended, as an endpoint tells it or as a caller is told.
--- a/statements/src/proxy_dispatch.cc
+++ b/statements/src/proxy_dispatch.cc
@@ -242,7 +242,7 @@
   begin.kind = primary ? EndpointCommand::Kind::kBegin
                        : EndpointCommand::Kind::kBeginReadOnly;
   if (!primary)
-    begin.after = after;
+    begin.required_position = after;
   connection.in_transaction = true;
   connection.leads_checked = primary;
   connection.expected.push_back({Connection::Expected::Kind::kBegin, now, now});
@@ -261,7 +261,7 @@
         {Connection::Expected::Kind::kSetup, now, now});
   EndpointCommand command;
   command.id = pending.statement.id;
-  command.after = after;
+  command.required_position = after;
   if (pending.statement.kind == StatementKind::kExecute) {
     const PreparedStatement& prepared =
         session.prepared.at(pending.statement.name);
--- a/statements/tests/proxy_reads_test.cc
+++ b/statements/tests/proxy_reads_test.cc
@@ -59,7 +59,7 @@
     const ConnectionId id = fixture.AcceptOpening();
     CHECK(fixture.endpoint_of.at(id) != "p");
     REQUIRE(fixture.Sent(id).size() == 1);
-    CHECK(fixture.Sent(id)[0].after == LogPosition{1, 10});
+    CHECK(fixture.Sent(id)[0].required_position == LogPosition{1, 10});
   }
   SECTION("An older position is not used; the primary is asked") {
     fixture.Advance(milliseconds(1600));
@@ -90,7 +90,7 @@
   fixture.SetRole("p", true, true);
   fixture.Say(kReader, StatementKind::kRead, "READ a");
   const ConnectionId id = fixture.AcceptOpening();
-  CHECK(fixture.Sent(id)[0].after == LogPosition{1, 12});
+  CHECK(fixture.Sent(id)[0].required_position == LogPosition{1, 12});
 }
 
 // Guards against a silent endpoint that holds a read until the caller gives up.
