--- a/statements/include/goldcrest/statements/connection_pool.h
+++ b/statements/include/goldcrest/statements/connection_pool.h
@@ -17,15 +17,15 @@
 using SessionId = std::uint64_t;
 using ConnectionId = std::uint64_t;
 
-//! What an entry knows of one connection to an endpoint.
+//! State of one connection from an entry to an endpoint.
 struct Connection {
   enum class State { kOpening, kIdle, kBusy };
-  //! What the next answers on the connection belong to.
-  struct Expected {
+  //! An outstanding answer on the connection.
+  struct ExpectedAnswer {
     enum class Kind { kSetup, kBegin, kStatement, kCleanup };
     Kind kind = Kind::kStatement;
     Time sent_at;
-    Time worked_on_since;  //!< `sent_at`, or the answer before it if later.
+    Time processing_since;  //!< The later of `sent_at` and the last answer.
   };
 
   ConnectionId id = 0;
@@ -33,16 +33,17 @@
   std::string group;
   std::string customer;
   State state = State::kOpening;
-  SessionId session = 0;  //!< kBusy: who uses it; 0: nobody waits any more.
+  //! The session that uses a busy connection; 0 when none does any more.
+  SessionId session = 0;
   bool in_transaction = false;
-  bool leads_checked = false;  //!< Its transaction runs on a primary only.
+  bool requires_primary = false;  //!< Its transaction is refused by a replica.
   std::map<std::string, std::string> values;
   std::set<std::string> prepared;
-  std::deque<Expected> expected;
-  Time since;  //!< Of `state`.
+  std::deque<ExpectedAnswer> expected_answers;
+  Time state_since;
 };
 
-//! What opening a connection takes.
+//! Parameters for opening a connection.
 struct ConnectionTarget {
   std::string endpoint;
   std::string group;
@@ -55,29 +56,29 @@
 };
 
 //! The connections of one entry to all endpoints. A connection belongs to one
-//! customer, since an endpoint is told the customer when it is opened. The
-//! limit of an endpoint over all entries is kept by the endpoint: an entry
-//! opens its even part freely and more while it needs them, and gives up what
-//! idles.
+//! customer, because the customer is sent to the endpoint when the connection
+//! is opened. Each endpoint enforces its connection limit over all entries. An
+//! entry opens connections up to its equal share of that limit, exceeds the
+//! share only while all of its connections are in use, and closes idle ones.
 class ConnectionPool {
  public:
   explicit ConnectionPool(ConnectionPoolHooks hooks);
 
-  //! An idle connection for the customer, which becomes busy for `session`;
+  //! Assigns an idle connection of the customer to `session` and makes it busy;
   //! nullptr when there is none.
-  Connection* Take(Time now,
-                   const std::string& endpoint,
-                   const std::string& customer,
-                   SessionId session);
+  Connection* TakeIdle(Time now,
+                       const std::string& endpoint,
+                       const std::string& customer,
+                       SessionId session);
 
   bool HasIdle(const std::string& endpoint, const std::string& customer) const;
 
-  //! Begins to open a connection, closing an idle one of another customer when
-  //! `limit` is reached. Returns 0 when that can't be done now.
+  //! Starts to open a connection. When `limit` is reached, first closes an idle
+  //! one of the endpoint. Returns 0 when no connection can be opened now.
   ConnectionId Open(Time now, const ConnectionTarget& target, int limit);
 
-  //! True when Open() would begin to open a connection.
-  bool MayOpen(Time now, const std::string& endpoint, int limit) const;
+  //! True when Open() would start to open a connection.
+  bool CanOpen(Time now, const std::string& endpoint, int limit) const;
 
   bool IsOpening(ConnectionId id) const;
 
@@ -88,69 +89,72 @@
 
   Connection* Find(ConnectionId id);
 
-  //! Makes a busy connection idle. Answers may still be due on it.
+  //! Makes a busy connection idle. It may still have outstanding answers.
   void Release(Time now, Connection& connection);
 
-  //! Closes and forgets the connection.
+  //! Closes the connection and removes it from the pool.
   void Close(ConnectionId id);
 
-  //! Forgets a connection that the endpoint has closed.
-  void Forget(ConnectionId id);
+  //! Removes a connection that the endpoint has closed or refused.
+  void Remove(ConnectionId id);
 
   //! The endpoint answered a statement after `latency`.
   void OnLatency(const std::string& endpoint, Duration latency);
 
-  //! The endpoint failed; it is left alone for a while, longer each time.
+  //! The endpoint failed; it is avoided for a time that grows with each
+  //! consecutive failure.
   void OnFailure(Time now, const std::string& endpoint);
 
-  //! The endpoint's log was at `position`.
+  //! The endpoint reported that its log has reached `position`.
   void OnPosition(const std::string& endpoint, LogPosition position);
-  //! The endpoint's log had not reached `asked`.
-  void OnBehind(Time now, const std::string& endpoint, LogPosition asked);
-  //! True when the endpoint would probably refuse to read after `position`.
+  //! The endpoint refused a read: its log has not reached `required`.
+  void OnBehind(Time now, const std::string& endpoint, LogPosition required);
+  //! True when the endpoint would probably refuse a read that requires
+  //! `position`.
   bool IsBehind(Time now,
                 const std::string& endpoint,
                 LogPosition position) const;
 
-  //! The endpoint had no room for a statement: fewer are sent at a time, and
-  //! when a single one was too many, none for a while.
+  //! The endpoint refused a statement because it was busy. Reduces the number
+  //! of concurrent statements to it; at the minimum, sends none for a while.
   void OnBusy(Time now, const std::string& endpoint);
   //! True when another statement may be sent to the endpoint now.
-  bool HasRoom(Time now, const std::string& endpoint) const;
+  bool HasCapacity(Time now, const std::string& endpoint) const;
 
-  //! Expected time for one more statement at the endpoint: its recent latency,
-  //! or the age of its oldest unanswered statement, times what this entry has
-  //! outstanding there.
+  //! Expected time for one more statement at the endpoint: the larger of its
+  //! recent latency and the age of its oldest unanswered statement, multiplied
+  //! by the number of this entry's statements there, the new one included.
   Duration ExpectedWait(Time now, const std::string& endpoint) const;
 
   bool IsAvoided(Time now, const std::string& endpoint) const;
 
-  //! Closes connections that have idled too long, or whose endpoint satisfies
-  //! `unwanted`.
+  //! Closes connections that have been idle for too long or whose endpoint
+  //! satisfies `unwanted`.
   void CloseIdle(Time now,
                  const std::function<bool(const std::string&)>& unwanted);
 
-  //! Connections without an answer since before `oldest`, used by nobody.
-  std::vector<ConnectionId> Stuck(Time oldest) const;
+  //! Connections that no session uses and whose oldest outstanding answer has
+  //! been due since before `oldest`.
+  std::vector<ConnectionId> UnansweredSince(Time oldest) const;
 
   std::size_t Size() const { return connections_.size(); }
 
  private:
-  struct Health {
+  struct EndpointHealth {
     Duration latency{};
     int failures = 0;
     Time avoid_until;
-    Time open_after;     // the endpoint had too many connections
-    LogPosition seen;    // the highest position told
-    LogPosition behind;  // had not been reached
-    Time behind_until;
-    double window = 0;  // statements at a time; 0: not set yet
-    Time narrowed_at;
-    Duration busy_pause{};  // of the last refusal at the narrowest window
+    Time next_open_at;  // set when the endpoint has too many connections
+    LogPosition highest_position;  // as reported by the endpoint
+    LogPosition refused_position;  // lowest required one that it refused
+    Time behind_until;             // end of the validity of that refusal
+    double window = 0;             // concurrent statements; 0: no limit
+    Time window_reduced_at;
+    Duration busy_backoff{};  // after the last refusal at the smallest window
     Time busy_until;
-    int refusals = 0;  // for too many connections, in a row
-    int count = 0;
-    int opening = 0;
+    int open_refusals = 0;  // consecutive, for too many connections
+    int connections = 0;
+    int opening_connections = 0;
   };
 
   int OutstandingAt(const std::string& endpoint) const;
@@ -158,7 +162,7 @@
   ConnectionPoolHooks hooks_;
   ConnectionId next_id_ = 1;
   std::map<ConnectionId, Connection> connections_;
-  std::map<std::string, Health> health_;
+  std::map<std::string, EndpointHealth> health_;
 };
 
 }  // namespace goldcrest::statements
--- a/statements/include/goldcrest/statements/log_position.h
+++ b/statements/include/goldcrest/statements/log_position.h
@@ -6,7 +6,8 @@
 
 namespace goldcrest::statements {
 
-//! A place in a group's log: the term of a primary and the number of a commit.
+//! A position in a group's log: the term of a primary and the number of a
+//! commit.
 struct LogPosition {
   std::int64_t term = 0;
   std::int64_t number = 0;
--- a/statements/include/goldcrest/statements/position_history.h
+++ b/statements/include/goldcrest/statements/position_history.h
@@ -9,31 +9,32 @@
 
 namespace goldcrest::statements {
 
-//! Positions that the primary of one group has confirmed, with the time before
-//! which every acknowledged commit is contained.
+//! Log positions that the primary of one group has confirmed. Each is kept with
+//! a time: the position contains every commit acknowledged before it.
 class PositionHistory {
  public:
-  //! The endpoint that leads the group answered with `position` a statement
-  //! that was sent at `asked_at`: every commit acknowledged before `asked_at`
-  //! is at or before `position`. Positions of earlier terms are dropped: the
-  //! promotion may have rolled them back, and the new term contains the rest.
-  void Confirm(Time asked_at, LogPosition position);
+  //! Records that the primary confirmed `position` in answer to a request sent
+  //! at `requested_at`: every commit acknowledged before `requested_at` is at
+  //! or before `position`. Positions of earlier terms are dropped: the
+  //! promotion may have rolled them back, and the new term contains the
+  //! remaining ones.
+  void Confirm(Time requested_at, LogPosition position);
 
   //! The lowest confirmed position that contains every commit acknowledged
   //! before `bound`; nullopt when none is known.
-  std::optional<LogPosition> Covering(Time bound) const;
+  std::optional<LogPosition> PositionCovering(Time bound) const;
 
   //! The newest term seen; 0 before the first.
   std::int64_t Term() const { return term_; }
 
  private:
-  struct Confirmed {
-    Time asked_at;
+  struct ConfirmedPosition {
+    Time requested_at;
     LogPosition position;
   };
 
   std::int64_t term_ = 0;
-  std::deque<Confirmed> confirmed_;  // in order of time
+  std::deque<ConfirmedPosition> confirmed_;  // ordered by `requested_at`
 };
 
 }  // namespace goldcrest::statements
--- a/statements/include/goldcrest/statements/primary_view.h
+++ b/statements/include/goldcrest/statements/primary_view.h
@@ -12,53 +12,56 @@
 
 namespace goldcrest::statements {
 
-//! Which endpoint an entry takes for the primary of each group. A belief only:
-//! the endpoint itself refuses what it may not run.
+//! The endpoint that an entry assumes to be the primary of each group. The
+//! assumption may be out of date: an endpoint refuses statements that it may
+//! not run.
 class PrimaryView {
  public:
   explicit PrimaryView(const routing::EndpointDirectory* directory);
 
-  //! A controller has promoted an endpoint. Older orders are ignored.
+  //! A controller has promoted an endpoint. Assignments with an older order are
+  //! ignored.
   void OnAssignment(const messages::PrimaryAssignment& assignment);
 
-  //! The endpoint has run something that only a primary runs.
+  //! The endpoint has run a command that only a primary accepts.
   void OnConfirmed(Time now,
                    const std::string& group,
                    const std::string& endpoint);
 
-  //! The endpoint has refused because it does not lead.
-  void OnDenied(Time now,
-                const std::string& group,
-                const std::string& endpoint);
+  //! The endpoint has refused a command because it is not the primary.
+  void OnRefused(Time now,
+                 const std::string& group,
+                 const std::string& endpoint);
 
   //! The endpoint could not be reached, or its connection broke.
   void OnUnreachable(Time now,
                      const std::string& group,
                      const std::string& endpoint);
 
-  //! Empty while no endpoint is known to lead.
+  //! Empty while no primary is known.
   std::string PrimaryOf(Time now, const std::string& group) const;
 
-  //! For the controllers, which decide on promotions.
+  //! Contacts with primaries, reported to the controllers for their decisions
+  //! on promotions.
   std::vector<messages::PrimaryContact> Contacts(Time now) const;
 
  private:
-  struct Belief {
+  struct PrimaryState {
     std::string confirmed;  // empty after a refusal
     std::string assigned;
     std::int64_t order = 0;
-    std::map<std::string, Time> denied_at;  // by endpoint
-    std::string contacted;
+    std::map<std::string, Time> refused_at;  // by endpoint
+    std::string contacted;  // endpoint that the times below refer to
     std::optional<Time> success_at;
     std::optional<Time> failing_since;
   };
 
-  bool IsDenied(Time now,
-                const Belief& belief,
-                const std::string& endpoint) const;
+  bool HasRecentlyRefused(Time now,
+                          const PrimaryState& state,
+                          const std::string& endpoint) const;
 
   const routing::EndpointDirectory* directory_;
-  std::map<std::string, Belief> beliefs_;
+  std::map<std::string, PrimaryState> states_;
 };
 
 }  // namespace goldcrest::statements
--- a/statements/include/goldcrest/statements/statement.h
+++ b/statements/include/goldcrest/statements/statement.h
@@ -27,21 +27,21 @@
 //! One statement of a caller.
 struct Statement {
   StatementKind kind = StatementKind::kMalformed;
-  std::string id;       //!< Given by the caller, unique.
-  std::string text;     //!< As it came; endpoints get it unchanged.
+  std::string id;       //!< Assigned by the caller, unique.
+  std::string text;     //!< As received; sent to endpoints unchanged.
   std::string name;     //!< kSet, kPrepare, kExecute, kDeallocate.
   std::string value;    //!< kSet: value; kPrepare: shape; kExecute: arguments.
-  bool writes = false;  //!< kPrepare: a statement that writes; kWrite.
+  bool writes = false;  //!< kWrite, or kPrepare of a statement that writes.
 };
 
-//! What an entry sends on a connection to an endpoint.
+//! A command from an entry to an endpoint.
 struct EndpointCommand {
   enum class Kind {
-    kCallerStatement,  //!< `text` of a caller, with its `id`.
+    kCallerStatement,  //!< A caller's statement: its `text` and `id`.
     kBegin,
     kBeginReadOnly,
     kRollback,
-    kReset,    //!< Drops session values and prepared names.
+    kReset,    //!< Clears session values and prepared statements.
     kSet,      //!< `name`, `value`.
     kPrepare,  //!< `name`, `value`: the shape, `writes`.
     kExecute,  //!< `name`, `value`: the arguments, with the caller's `id`.
@@ -53,25 +53,25 @@
   std::string name;
   std::string value;
   bool writes = false;
-  //! The endpoint refuses unless its log has reached this.
+  //! The endpoint refuses the command unless its log has reached this position.
   std::optional<LogPosition> required_position;
 };
 
-//! How a statement ended, as an endpoint tells it or as a caller is told.
+//! How a statement ended, as reported by an endpoint or to a caller.
 enum class Outcome {
   kDone,
-  // Nothing of the caller's attempt is kept.
+  // The attempt had no effect: it was not run or was rolled back.
   kBusy,
   kAborted,
-  kBehind,         //!< The endpoint's log lacks the position asked for.
-  kReadOnly,       //!< The endpoint does not lead its group.
+  kBehind,    //!< The endpoint's log has not reached the required position.
+  kReadOnly,  //!< The endpoint is not the primary of its group.
   kWrongEndpoint,  //!< Another endpoint answers at this address.
   kTooManyConnections,
-  // It ran, or may have run.
+  // The statement ran or may have run.
   kFailed,
   kTimedOut,
   kInDoubt,
-  // Refused for what it is.
+  // Refused because of the request itself.
   kUnknownPrepared,
   kMalformed,
   kUnknownKey,
@@ -80,7 +80,7 @@
   kOther,
 };
 
-//! True when nothing of the statement or its transaction is kept.
+//! True when neither the statement nor its transaction has any effect.
 bool IsNotRun(Outcome outcome);
 
 //! Short name for logs and counters, such as "in_doubt".
@@ -90,13 +90,14 @@
 
 //! The answer to one statement, from an endpoint or to a caller.
 struct Answer {
-  //! What an entry answers itself when a statement is done.
+  //! The answer of an entry to a statement that it completes without an
+  //! endpoint.
   static Answer Completed();
 
   Outcome outcome = Outcome::kDone;
   std::vector<std::string> rows;
-  std::string signature;  //!< kDone: of the endpoint, "-" for none.
-  std::string code;       //!< Not kDone: as the endpoint named it.
+  std::string signature;  //!< kDone: the endpoint's signature, "-" for none.
+  std::string code;       //!< Not kDone: the endpoint's error word.
   std::string message;    //!< Not kDone.
   TransactionState state = TransactionState::kIdle;
   std::optional<LogPosition> position;
--- a/statements/include/goldcrest/statements/statement_proxy.h
+++ b/statements/include/goldcrest/statements/statement_proxy.h
@@ -19,14 +19,15 @@
 
 namespace goldcrest::statements {
 
-//! A decision that touches a caller's statement or what the entry believes.
+//! A decision, for the log: about a caller's statement, a connection, or what
+//! the entry knows of endpoints and the configuration.
 struct Decision {
   std::string event;         //!< Such as "refused", "retried".
   std::string statement_id;  //!< Empty when it concerns no statement.
   std::string group;
   std::string endpoint;
   std::string cause;
-  Duration age{};  //!< Of the statement, or of the belief.
+  Duration age{};  //!< Of the statement or the connection's state.
   std::int64_t configuration_version = 0;
   std::string customer;  //!< Empty when it concerns no session.
 };
@@ -34,7 +35,7 @@
 struct ProxyHooks {
   //! Answers the session's oldest unanswered statement.
   std::function<void(SessionId, const Answer&)> answer;
-  //! Closes the session after what was sent.
+  //! Closes the session once the answers before it are sent.
   std::function<void(SessionId)> close_session;
   std::function<void(ConnectionId, const ConnectionTarget&)> open;
   std::function<void(ConnectionId, const std::vector<EndpointCommand>&)> send;
@@ -47,16 +48,18 @@
 struct ProxyOptions {
   std::string zone;
   quota::LimitWindow limit_window;
-  int entries = 11;  //!< Until a controller tells how many there are.
+  int entry_count = 11;  //!< Used until a controller reports the number.
 };
 
-//! The sessions of one entry: takes callers' statements, finds an endpoint that
-//! may run each, and answers. Does no I/O and reads no clock; not thread-safe.
+//! The callers' sessions of one entry: chooses for each statement an endpoint
+//! that may run it, forwards it and passes on the answer. Does no I/O and reads
+//! no clock; not thread-safe.
 class StatementProxy {
  public:
   StatementProxy(ProxyOptions options, ProxyHooks hooks);
 
-  // Callers. A session is answered in the order of its statements.
+  // Events of callers. Each session gets its answers in the order of its
+  // statements.
   void OnSessionStart(Time now,
                       SessionId session,
                       const std::string& database,
@@ -64,32 +67,33 @@
   void OnStatement(Time now, SessionId session, Statement statement);
   void OnSessionClosed(Time now, SessionId session);
 
-  // Endpoint connections, as opened by the hook.
+  // Events of the endpoint connections that the `open` hook has opened.
   void OnOpened(Time now, ConnectionId id);
   void OnOpenFailed(Time now, ConnectionId id, Outcome outcome);
   void OnAnswer(Time now, ConnectionId id, const Answer& answer);
   void OnConnectionClosed(Time now, ConnectionId id);
 
-  // What controllers tell.
+  // Updates from controllers.
   void OnRoutingTable(Time now, routing::RoutingTablePtr table);
   void OnEndpoint(Time now, const messages::EndpointRecord& record);
   void OnAssignment(Time now, const messages::PrimaryAssignment& assignment);
   //! A primary confirmed `position` after this entry's clock showed
-  //! `asked_at`.
+  //! `requested_at`.
   void OnConfirmedPosition(const std::string& group,
-                           Time asked_at,
+                           Time requested_at,
                            LogPosition position);
   void OnEntryCount(int entries);
-  //! After the holder's shares have changed.
+  //! Admits waiting operations after the holder's shares have changed.
   void OnShares(Time now);
 
-  //! Carries out what is due; call it at least every kTickInterval.
+  //! Applies timeouts and retries; has to be called at least every
+  //! kTickInterval.
   void Tick(Time now);
   static constexpr Duration kTickInterval = std::chrono::milliseconds(20);
 
-  //! Closes sessions between two operations from now on.
+  //! From now on, closes each session once it is between two operations.
   void BeginDrain(Time now);
-  //! Ends transactions that are still open.
+  //! Rolls back transactions that are still open.
   void AbortTransactions(Time now);
 
   std::size_t SessionCount() const { return sessions_.size(); }
@@ -101,22 +105,22 @@
   const routing::EndpointDirectory& directory() const { return directory_; }
 
  private:
-  struct Pending {
+  struct PendingStatement {
     Statement statement;
     Time arrival;
-    Time deadline;         // of the route's statement timeout
-    Time give_up;          // unless it has been sent by then
-    bool counted = false;  // a token was taken for its operation
-    bool sent = false;     // it may have reached an endpoint
+    Time deadline;             // by the route's statement timeout
+    Time give_up_at;           // refused then if it has not been sent
+    bool token_taken = false;  // its operation has taken a token
+    bool sent = false;         // it may have reached an endpoint
     int attempts = 0;
-    std::map<std::string, Time> avoid;  // endpoint: until
-    ConnectionId opening = 0;
-    std::optional<LogPosition> after;  // asked of the endpoint
+    std::map<std::string, Time> avoided_until;  // by endpoint
+    ConnectionId opening_connection = 0;
+    std::optional<LogPosition> required_position;  // sent with the statement
     Time retry_at;
     std::string last_cause = "no endpoint";
   };
   struct PreparedStatement {
-    //! Its name on connections, which sessions share.
+    //! Its name on endpoint connections, where sessions share it.
     std::string SharedName() const { return (writes ? "w" : "r") + shape; }
 
     bool writes = false;
@@ -130,38 +134,39 @@
     TransactionState state = TransactionState::kIdle;
     std::map<std::string, std::string> values;
     std::map<std::string, PreparedStatement> prepared;
-    LogPosition own_commit;
-    // The operation that runs: its route stays the same until it ends.
+    LogPosition last_commit;
+    // The running operation, which keeps its route until it ends.
     routing::RoutingTablePtr table;
     const routing::Route* route = nullptr;
     Time started_at;
     bool read_only = false;
-    bool ran = false;      // a statement of the transaction has succeeded
-    bool aborted = false;  // the transaction was lost; the caller isn't told
+    bool statement_succeeded = false;  // of the running transaction
+    bool aborted = false;  // the transaction was rolled back; not yet reported
     ConnectionId connection = 0;
-    std::optional<Pending> pending;
-    std::deque<Statement> inbox;
-    Time idle_until = kNever;  // an idle transaction is ended then
+    std::optional<PendingStatement> pending;
+    std::deque<Statement> queued_statements;
+    // When the open transaction is rolled back unless a statement arrives.
+    Time transaction_idle_deadline = kNever;
     Time answered_at;
   };
 
-  // A session that was opened before there was a configuration.
-  struct WaitingStart {
+  // A session that was opened before the entry had a configuration.
+  struct PendingSessionStart {
     SessionId session = 0;
     std::string database;
     std::string key;
-    Time until;
+    Time deadline;
   };
 
-  // Sessions.
-  void RefuseWaitingStarts(Time now);
-  void Handle(Time now, Session& session, Statement statement);
+  // Sessions and statements that need no endpoint.
+  void RefuseExpiredSessionStarts(Time now);
+  void HandleStatement(Time now, Session& session, Statement statement);
   void HandleBegin(Time now, Session& session, Statement statement);
   void HandleRollback(Time now, Session& session);
   void HandlePrepare(Time now, Session& session, const Statement& statement);
-  void HandleRunnable(Time now, Session& session, Statement statement);
+  void HandleEndpointStatement(Time now, Session& session, Statement statement);
   bool StartOperation(Time now, Session& session);
-  void Submit(Time now, Session& session, Statement statement);
+  void SubmitStatement(Time now, Session& session, Statement statement);
   void Reply(Time now, Session& session, Answer answer);
   void ReplyLocally(Time now, Session& session, Answer answer);
   void ReplyError(Time now,
@@ -174,47 +179,47 @@
               Outcome outcome,
               const std::string& message);
   void EndOperation(Time now, Session& session, Outcome outcome);
-  void NextFromInbox(Time now, SessionId id);
-  void ServeWaitingForTokens(Time now);
+  void HandleQueuedStatements(Time now, SessionId id);
+  void AdmitWaitingOperations(Time now);
   void CloseIdleSessions(Time now);
-  bool Admit(Time now, Session& session);
+  bool AdmitOperation(Time now, Session& session);
 
   void SetLimits(const routing::RoutingTable& table);
 
-  // Dispatch.
+  // Choice of the endpoint and the connection for a statement.
   bool NeedsPrimary(const Session& session) const;
   bool Writes(const Session& session, const Statement& statement) const;
   void DispatchGroup(Time now, const std::string& group);
-  //! Whether a dispatch may open a connection, or uses an idle one only.
-  enum class Opening { kAllowed, kLater };
-  void Dispatch(Time now, Session& session, Opening opening);
-  void DispatchToPrimary(Time now, Session& session, Opening opening);
-  void DispatchToAny(Time now,
-                     Session& session,
-                     LogPosition after,
-                     Opening opening);
-  bool Acquire(Time now,
-               Session& session,
-               const std::string& endpoint,
-               Opening opening);
-  std::optional<LogPosition> ReadPosition(const Session& session);
-  void Run(Time now,
-           Session& session,
-           Connection& connection,
-           std::optional<LogPosition> after);
+  //! Whether a dispatch may open a connection or only use an idle one.
+  enum class ConnectionPolicy { kMayOpen, kIdleOnly };
+  void Dispatch(Time now, Session& session, ConnectionPolicy policy);
+  void DispatchToPrimary(Time now, Session& session, ConnectionPolicy policy);
+  void DispatchToAnyMember(Time now,
+                           Session& session,
+                           LogPosition required_position,
+                           ConnectionPolicy policy);
+  bool AcquireConnection(Time now,
+                         Session& session,
+                         const std::string& endpoint,
+                         ConnectionPolicy policy);
+  std::optional<LogPosition> RequiredReadPosition(const Session& session);
+  void StartStatement(Time now,
+                      Session& session,
+                      Connection& connection,
+                      std::optional<LogPosition> required_position);
   void SendStatement(Time now,
                      Session& session,
                      Connection& connection,
-                     std::optional<LogPosition> after);
-  void AppendSetup(const Session& session,
-                   Connection& connection,
-                   std::vector<EndpointCommand>& commands) const;
+                     std::optional<LogPosition> required_position);
+  void AppendSessionSetup(const Session& session,
+                          Connection& connection,
+                          std::vector<EndpointCommand>& commands) const;
   void Send(const Connection& connection,
             const std::vector<EndpointCommand>& commands);
-  int EvenPart(const std::string& endpoint) const;
+  int EqualConnectionShare(const std::string& endpoint) const;
   int ConnectionLimit(const std::string& endpoint) const;
 
-  // Answers.
+  // Answers of endpoints, retries, timeouts and lost connections.
   void OnBeginAnswer(Time now,
                      Connection& connection,
                      const Answer& answer,
@@ -223,38 +228,38 @@
                          Connection& connection,
                          const Answer& answer,
                          Time sent_at);
-  void OnSingleAnswer(Time now,
-                      Session& session,
-                      Connection& connection,
-                      const Answer& answer);
+  void OnAutocommitAnswer(Time now,
+                          Session& session,
+                          Connection& connection,
+                          const Answer& answer);
   void OnTransactionAnswer(Time now,
                            Session& session,
                            Connection& connection,
                            const Answer& answer);
-  void Learn(Time now,
-             const Connection& connection,
-             const Answer& answer,
-             Time sent_at);
+  void RecordPrimaryAnswer(Time now,
+                           const Connection& connection,
+                           const Answer& answer,
+                           Time sent_at);
   bool Retry(Time now,
              Session& session,
              const std::string& endpoint,
              Outcome outcome);
-  void CleanUp(Time now, Connection& connection);
-  void Abandon(Time now, Session& session);
-  void LoseConnection(Time now, Session& session, const std::string& cause);
+  void CleanUpConnection(Time now, Connection& connection);
+  void DetachConnection(Time now, Session& session);
+  void OnConnectionLost(Time now, Session& session, const std::string& cause);
   void OnStatementTimeout(Time now, Session& session);
-  void NoteUnreachable(Time now,
-                       const std::string& group,
-                       const std::string& endpoint);
-  void DecideOnConnection(const Connection& connection,
-                          const std::string& event,
-                          const std::string& cause,
-                          Duration age = Duration::zero());
-  void Decide(Time now,
-              const Session& session,
-              const std::string& event,
-              const std::string& endpoint,
-              const std::string& cause);
+  void ReportUnreachablePrimary(Time now,
+                                const std::string& group,
+                                const std::string& endpoint);
+  void ReportConnectionDecision(const Connection& connection,
+                                const std::string& event,
+                                const std::string& cause,
+                                Duration age = Duration::zero());
+  void ReportDecision(Time now,
+                      const Session& session,
+                      const std::string& event,
+                      const std::string& endpoint,
+                      const std::string& cause);
 
   ProxyOptions options_;
   ProxyHooks hooks_;
@@ -265,9 +270,9 @@
   quota::Holder holder_;
   std::map<std::string, PositionHistory> positions_;  // by group
   std::map<SessionId, Session> sessions_;
-  std::map<std::string, std::vector<SessionId>> waiting_;  // by group
+  std::map<std::string, std::vector<SessionId>> waiting_sessions_;  // by group
   std::vector<SessionId> token_waiters_;
-  std::vector<WaitingStart> waiting_starts_;
+  std::vector<PendingSessionStart> pending_session_starts_;
   bool draining_ = false;
 };
 
--- a/statements/src/connection_pool.cc
+++ b/statements/src/connection_pool.cc
@@ -6,69 +6,73 @@
 namespace goldcrest::statements {
 namespace {
 
-// Pause after a refusal for too many connections, doubled with each one in a
-// row: long enough for another entry to give up an idle one. Each attempt costs
-// the endpoint some milliseconds of a slot, refused or not.
-constexpr Duration kTooManyPause = std::chrono::milliseconds(40);
-constexpr int kMaxTooManyDoublings = 4;
-
-// Connections that an entry opens to one endpoint at a time. Without a bound,
-// a full endpoint spends its slots on refusing connections.
-constexpr int kMaxOpening = 2;
-
-// An endpoint that can't be reached is tried again after this, doubled with
-// each failure in a row.
-constexpr Duration kFailurePause = std::chrono::milliseconds(100);
+// Delay before the next connection attempt after a refusal for too many
+// connections, doubled with each consecutive refusal: long enough for another
+// entry to close an idle connection. Each attempt occupies a slot of the
+// endpoint for some milliseconds, refused or not.
+constexpr Duration kTooManyConnectionsBackoff = std::chrono::milliseconds(40);
+constexpr int kMaxTooManyConnectionsDoublings = 4;
+
+// Connections that an entry opens to one endpoint concurrently. Without a
+// bound, a full endpoint spends its slots on refusing connections.
+constexpr int kMaxConcurrentOpens = 2;
+
+// Delay before an unreachable endpoint is tried again, doubled with each
+// consecutive failure.
+constexpr Duration kFailureBackoff = std::chrono::milliseconds(100);
 constexpr int kMaxFailureDoublings = 3;
 
-// An idle connection is given up soon: another entry or another customer may
-// need the place, and after a power loss an endpoint counts dead connections
-// for seconds. An endpoint that is short of slots is spared the cost of new
-// ones.
-constexpr Duration kIdleKept = std::chrono::milliseconds(200);
-constexpr Duration kIdleKeptWhenBusy = std::chrono::milliseconds(1500);
-
-// An endpoint whose log was behind is asked for other reads again after this.
-constexpr Duration kBehindPause = std::chrono::milliseconds(200);
-
-// Statements at a time to one endpoint: narrowed after a refusal for want of
-// room, at most once in a while, and widened with each answer.
-constexpr double kNarrowFactor = 0.7;
-constexpr Duration kNarrowInterval = std::chrono::milliseconds(60);
-constexpr double kWiden = 0.15;
-constexpr double kWidestWindow = 24;
-
-// Pause after a refusal at the narrowest window, doubled with each one and
+// Idle connections are closed soon: another entry or another customer may need
+// the slot, and after a power loss an endpoint counts dead connections for
+// seconds. At an overloaded endpoint they are kept longer, because opening new
+// connections would cost it further slots.
+constexpr Duration kIdleTimeout = std::chrono::milliseconds(200);
+constexpr Duration kIdleTimeoutWhenBusy = std::chrono::milliseconds(1500);
+
+// How long the refusal of a read by a lagging endpoint applies to other reads
+// that require the same position or a later one.
+constexpr Duration kBehindValidity = std::chrono::milliseconds(200);
+
+// The window limits the concurrent statements to one endpoint. It shrinks when
+// the endpoint refuses a statement as busy, at most once per interval, and
+// grows with each answer.
+constexpr double kWindowDecreaseFactor = 0.7;
+constexpr Duration kWindowDecreaseInterval = std::chrono::milliseconds(60);
+constexpr double kWindowIncrease = 0.15;
+constexpr double kMaxWindow = 24;
+
+// Delay after a refusal at the smallest window, doubled with each refusal and
 // halved with each answer: dozens of entries with one statement each are still
-// too many for a few slots, and each attempt costs bytes between zones.
-constexpr Duration kShortestBusyPause = std::chrono::milliseconds(20);
-constexpr Duration kLongestBusyPause = std::chrono::milliseconds(160);
+// too many for a few slots, and each attempt costs traffic between availability
+// zones.
+constexpr Duration kMinBusyBackoff = std::chrono::milliseconds(20);
+constexpr Duration kMaxBusyBackoff = std::chrono::milliseconds(160);
 
-// Weight of the newest latency: 1 / kLatencyWeight.
-constexpr int kLatencyWeight = 5;
+// The newest latency has the weight 1 / kLatencySmoothingDivisor.
+constexpr int kLatencySmoothingDivisor = 5;
 
 }  // namespace
 
 ConnectionPool::ConnectionPool(ConnectionPoolHooks hooks)
     : hooks_(std::move(hooks)) {}
 
-Connection* ConnectionPool::Take(Time now,
-                                 const std::string& endpoint,
-                                 const std::string& customer,
-                                 SessionId session) {
-  // The one used last: the others may be given up.
+Connection* ConnectionPool::TakeIdle(Time now,
+                                     const std::string& endpoint,
+                                     const std::string& customer,
+                                     SessionId session) {
+  // Takes the most recently used one, so that the others can time out.
   Connection* best = nullptr;
   for (auto& [id, connection] : connections_) {
     if (connection.state != Connection::State::kIdle ||
         connection.endpoint != endpoint || connection.customer != customer)
       continue;
-    if (best == nullptr || connection.since > best->since)
+    if (best == nullptr || connection.state_since > best->state_since)
       best = &connection;
   }
   if (best == nullptr)
     return nullptr;
   best->state = Connection::State::kBusy;
-  best->since = now;
+  best->state_since = now;
   best->session = session;
   return best;
 }
@@ -81,36 +85,37 @@
   });
 }
 
-bool ConnectionPool::MayOpen(Time now,
+bool ConnectionPool::CanOpen(Time now,
                              const std::string& endpoint,
                              int limit) const {
   const auto it = health_.find(endpoint);
   if (it == health_.end())
     return true;
-  if (now < it->second.open_after || now < it->second.avoid_until ||
-      it->second.opening >= kMaxOpening)
+  if (now < it->second.next_open_at || now < it->second.avoid_until ||
+      it->second.opening_connections >= kMaxConcurrentOpens)
     return false;
-  if (it->second.count < limit)
+  if (it->second.connections < limit)
     return true;
   return std::ranges::any_of(connections_, [&](const auto& item) {
     return item.second.state == Connection::State::kIdle &&
-           item.second.endpoint == endpoint && item.second.expected.empty();
+           item.second.endpoint == endpoint &&
+           item.second.expected_answers.empty();
   });
 }
 
 ConnectionId ConnectionPool::Open(Time now,
                                   const ConnectionTarget& target,
                                   int limit) {
-  if (!MayOpen(now, target.endpoint, limit))
+  if (!CanOpen(now, target.endpoint, limit))
     return 0;
-  if (health_[target.endpoint].count >= limit) {
-    // The least recently used one goes.
+  if (health_[target.endpoint].connections >= limit) {
+    // Closes the least recently used one.
     Connection* oldest = nullptr;
     for (auto& [id, connection] : connections_) {
       if (connection.state != Connection::State::kIdle ||
           connection.endpoint != target.endpoint)
         continue;
-      if (oldest == nullptr || connection.since < oldest->since)
+      if (oldest == nullptr || connection.state_since < oldest->state_since)
         oldest = &connection;
     }
     if (oldest == nullptr)
@@ -123,9 +128,9 @@
   connection.endpoint = target.endpoint;
   connection.group = target.group;
   connection.customer = target.customer;
-  connection.since = now;
-  ++health_[target.endpoint].count;
-  ++health_[target.endpoint].opening;
+  connection.state_since = now;
+  ++health_[target.endpoint].connections;
+  ++health_[target.endpoint].opening_connections;
   hooks_.open(id, target);
   return id;
 }
@@ -141,26 +146,27 @@
   if (connection == nullptr)
     return;
   connection->state = Connection::State::kIdle;
-  connection->since = now;
-  Health& health = health_[connection->endpoint];
+  connection->state_since = now;
+  EndpointHealth& health = health_[connection->endpoint];
   health.failures = 0;
-  health.refusals = 0;
-  --health.opening;
+  health.open_refusals = 0;
+  --health.opening_connections;
 }
 
 void ConnectionPool::OnOpenFailed(Time now, ConnectionId id, Outcome outcome) {
   Connection* connection = Find(id);
   if (connection == nullptr)
     return;
-  Health& health = health_[connection->endpoint];
+  EndpointHealth& health = health_[connection->endpoint];
   if (outcome == Outcome::kTooManyConnections) {
-    const int doublings = std::min(health.refusals, kMaxTooManyDoublings);
-    ++health.refusals;
-    health.open_after = now + kTooManyPause * (1 << doublings);
+    const int doublings =
+        std::min(health.open_refusals, kMaxTooManyConnectionsDoublings);
+    ++health.open_refusals;
+    health.next_open_at = now + kTooManyConnectionsBackoff * (1 << doublings);
   } else {
     OnFailure(now, connection->endpoint);
   }
-  Forget(id);
+  Remove(id);
 }
 
 Connection* ConnectionPool::Find(ConnectionId id) {
@@ -170,61 +176,62 @@
 
 void ConnectionPool::Release(Time now, Connection& connection) {
   connection.state = Connection::State::kIdle;
-  connection.since = now;
+  connection.state_since = now;
   connection.session = 0;
   connection.in_transaction = false;
-  connection.leads_checked = false;
+  connection.requires_primary = false;
 }
 
-void ConnectionPool::Forget(ConnectionId id) {
+void ConnectionPool::Remove(ConnectionId id) {
   const auto it = connections_.find(id);
   if (it == connections_.end())
     return;
-  Health& health = health_[it->second.endpoint];
-  --health.count;
+  EndpointHealth& health = health_[it->second.endpoint];
+  --health.connections;
   if (it->second.state == Connection::State::kOpening)
-    --health.opening;
+    --health.opening_connections;
   connections_.erase(it);
 }
 
 void ConnectionPool::Close(ConnectionId id) {
-  Forget(id);
+  Remove(id);
   hooks_.close(id);
 }
 
 void ConnectionPool::OnLatency(const std::string& endpoint, Duration latency) {
-  Health& health = health_[endpoint];
+  EndpointHealth& health = health_[endpoint];
   health.failures = 0;
   if (health.window > 0)
-    health.window = health.window >= kWidestWindow ? 0 : health.window + kWiden;
-  health.latency += (latency - health.latency) / kLatencyWeight;
-  health.busy_pause /= 2;
+    health.window =
+        health.window >= kMaxWindow ? 0 : health.window + kWindowIncrease;
+  health.latency += (latency - health.latency) / kLatencySmoothingDivisor;
+  health.busy_backoff /= 2;
 }
 
 void ConnectionPool::OnFailure(Time now, const std::string& endpoint) {
-  Health& health = health_[endpoint];
+  EndpointHealth& health = health_[endpoint];
   const int doublings = std::min(health.failures, kMaxFailureDoublings);
   if (now < health.avoid_until)
-    return;  // One fault breaks several connections at once.
+    return;  // One fault breaks several connections: counts once.
   ++health.failures;
-  health.avoid_until = now + kFailurePause * (1 << doublings);
+  health.avoid_until = now + kFailureBackoff * (1 << doublings);
 }
 
 void ConnectionPool::OnPosition(const std::string& endpoint,
                                 LogPosition position) {
-  Health& health = health_[endpoint];
-  health.seen = std::max(health.seen, position);
+  EndpointHealth& health = health_[endpoint];
+  health.highest_position = std::max(health.highest_position, position);
 }
 
 void ConnectionPool::OnBehind(Time now,
                               const std::string& endpoint,
-                              LogPosition asked) {
-  Health& health = health_[endpoint];
-  if (now >= health.behind_until || asked < health.behind)
-    health.behind = asked;
-  health.behind_until = now + kBehindPause;
-  // A promotion may have taken back what it had.
-  health.seen = LogPosition();
+                              LogPosition required) {
+  EndpointHealth& health = health_[endpoint];
+  if (now >= health.behind_until || required < health.refused_position)
+    health.refused_position = required;
+  health.behind_until = now + kBehindValidity;
+  // A promotion may have rolled back positions that it reported before.
+  health.highest_position = LogPosition();
 }
 
 bool ConnectionPool::IsBehind(Time now,
@@ -232,28 +239,29 @@
                               LogPosition position) const {
   const auto it = health_.find(endpoint);
   return it != health_.end() && now < it->second.behind_until &&
-         !(position < it->second.behind) && it->second.seen < position;
+         !(position < it->second.refused_position) &&
+         it->second.highest_position < position;
 }
 
 void ConnectionPool::OnBusy(Time now, const std::string& endpoint) {
-  Health& health = health_[endpoint];
+  EndpointHealth& health = health_[endpoint];
   if (health.window > 0 && health.window < 2 && now >= health.busy_until) {
-    health.busy_pause = std::clamp(health.busy_pause * 2, kShortestBusyPause,
-                                   kLongestBusyPause);
-    // Spread over half of the pause, so that entries do not return together.
+    health.busy_backoff =
+        std::clamp(health.busy_backoff * 2, kMinBusyBackoff, kMaxBusyBackoff);
+    // Spread over half of the backoff, so that entries do not retry together.
     const Duration spread =
-        now.time_since_epoch() % std::max(Duration(1), health.busy_pause / 2);
-    health.busy_until = now + health.busy_pause / 2 + spread;
+        now.time_since_epoch() % std::max(Duration(1), health.busy_backoff / 2);
+    health.busy_until = now + health.busy_backoff / 2 + spread;
   }
-  if (now - health.narrowed_at < kNarrowInterval)
+  if (now - health.window_reduced_at < kWindowDecreaseInterval)
     return;
-  health.narrowed_at = now;
+  health.window_reduced_at = now;
   const double used = std::max(1, OutstandingAt(endpoint));
   const double window = health.window == 0 ? used : health.window;
-  health.window = std::max(1.0, std::min(window, used) * kNarrowFactor);
+  health.window = std::max(1.0, std::min(window, used) * kWindowDecreaseFactor);
 }
 
-bool ConnectionPool::HasRoom(Time now, const std::string& endpoint) const {
+bool ConnectionPool::HasCapacity(Time now, const std::string& endpoint) const {
   const auto it = health_.find(endpoint);
   if (it == health_.end())
     return true;
@@ -267,7 +275,7 @@
   return static_cast<int>(
       std::ranges::count_if(connections_, [&](const auto& item) {
         return item.second.endpoint == endpoint &&
-               !item.second.expected.empty();
+               !item.second.expected_answers.empty();
       }));
 }
 
@@ -279,11 +287,11 @@
   Duration oldest{};
   int outstanding = 0;
   for (const auto& [id, connection] : connections_) {
-    if (connection.endpoint != endpoint || connection.expected.empty())
+    if (connection.endpoint != endpoint || connection.expected_answers.empty())
       continue;
     ++outstanding;
-    oldest =
-        std::max(oldest, now - connection.expected.front().worked_on_since);
+    oldest = std::max(
+        oldest, now - connection.expected_answers.front().processing_since);
   }
   return std::max(it->second.latency, oldest) * (1 + outstanding);
 }
@@ -301,19 +309,20 @@
     if (connection.state != Connection::State::kIdle)
       continue;
     const bool busy = health_.at(connection.endpoint).window > 0;
-    const Duration kept = busy ? kIdleKeptWhenBusy : kIdleKept;
-    if (now - connection.since >= kept || unwanted(connection.endpoint))
+    const Duration timeout = busy ? kIdleTimeoutWhenBusy : kIdleTimeout;
+    if (now - connection.state_since >= timeout ||
+        unwanted(connection.endpoint))
       closing.push_back(id);
   }
   for (const ConnectionId id : closing)
     Close(id);
 }
 
-std::vector<ConnectionId> ConnectionPool::Stuck(Time oldest) const {
+std::vector<ConnectionId> ConnectionPool::UnansweredSince(Time oldest) const {
   std::vector<ConnectionId> stuck;
   for (const auto& [id, connection] : connections_) {
-    if (connection.session != 0 || connection.expected.empty() ||
-        connection.expected.front().worked_on_since >= oldest)
+    if (connection.session != 0 || connection.expected_answers.empty() ||
+        connection.expected_answers.front().processing_since >= oldest)
       continue;
     stuck.push_back(id);
   }
--- a/statements/src/position_history.cc
+++ b/statements/src/position_history.cc
@@ -7,43 +7,47 @@
 namespace goldcrest::statements {
 namespace {
 
-// Closer confirmations replace each other: a bound of seconds needs no more,
-// and the list stays short.
-constexpr Duration kSpacing = std::chrono::milliseconds(50);
+// Of confirmations closer than this only the latest is kept: staleness bounds
+// are in seconds and need no finer steps, and the list stays short.
+constexpr Duration kMinConfirmationInterval = std::chrono::milliseconds(50);
 
-// Longer bounds on the age of reads are served as if they were this long.
-constexpr Duration kKept = std::chrono::seconds(5);
+// Longer staleness bounds of reads are served as if they were this long.
+constexpr Duration kMaxHistoryAge = std::chrono::seconds(5);
 
 }  // namespace
 
-void PositionHistory::Confirm(Time asked_at, LogPosition position) {
+void PositionHistory::Confirm(Time requested_at, LogPosition position) {
   if (position.term < term_)
     return;
   if (position.term > term_) {
     confirmed_.clear();
     term_ = position.term;
   }
-  const auto next =
-      std::ranges::lower_bound(confirmed_, asked_at, {}, &Confirmed::asked_at);
-  // A later question with a lower answer covers more and is easier to reach.
+  const auto next = std::ranges::lower_bound(confirmed_, requested_at, {},
+                                             &ConfirmedPosition::requested_at);
+  // A later request with the same or a lower position covers more commits and
+  // is easier to reach.
   if (next != confirmed_.end() && !(position < next->position))
     return;
-  // Between two that are close, it adds nothing.
+  // Adds nothing between two confirmations that are close to each other.
   if (next != confirmed_.end() && next != confirmed_.begin() &&
-      next->asked_at - std::prev(next)->asked_at < kSpacing)
+      next->requested_at - std::prev(next)->requested_at <
+          kMinConfirmationInterval)
     return;
   if (next == confirmed_.end() && confirmed_.size() > 1 &&
-      asked_at - confirmed_[confirmed_.size() - 2].asked_at < kSpacing)
-    confirmed_.back() = {asked_at, position};
+      requested_at - confirmed_[confirmed_.size() - 2].requested_at <
+          kMinConfirmationInterval)
+    confirmed_.back() = {requested_at, position};
   else
-    confirmed_.insert(next, {asked_at, position});
-  while (confirmed_.front().asked_at + kKept < confirmed_.back().asked_at)
+    confirmed_.insert(next, {requested_at, position});
+  while (confirmed_.front().requested_at + kMaxHistoryAge <
+         confirmed_.back().requested_at)
     confirmed_.pop_front();
 }
 
-std::optional<LogPosition> PositionHistory::Covering(Time bound) const {
-  const auto it =
-      std::ranges::lower_bound(confirmed_, bound, {}, &Confirmed::asked_at);
+std::optional<LogPosition> PositionHistory::PositionCovering(Time bound) const {
+  const auto it = std::ranges::lower_bound(confirmed_, bound, {},
+                                           &ConfirmedPosition::requested_at);
   if (it == confirmed_.end())
     return std::nullopt;
   return it->position;
--- a/statements/src/primary_view.cc
+++ b/statements/src/primary_view.cc
@@ -5,9 +5,10 @@
 namespace goldcrest::statements {
 namespace {
 
-// An endpoint that still says it leads is asked again this long after it
-// refused: a promotion takes some hundred milliseconds to come into force.
-constexpr Duration kDenialLasts = std::chrono::milliseconds(150);
+// How long an endpoint is left out after it refused as not being the primary,
+// although its record says that it is: a promotion takes some hundred
+// milliseconds to take effect.
+constexpr Duration kRefusalValidity = std::chrono::milliseconds(150);
 
 }  // namespace
 
@@ -15,79 +16,79 @@
     : directory_(directory) {}
 
 void PrimaryView::OnAssignment(const messages::PrimaryAssignment& assignment) {
-  Belief& belief = beliefs_[assignment.group];
-  if (assignment.order <= belief.order)
+  PrimaryState& state = states_[assignment.group];
+  if (assignment.order <= state.order)
     return;
-  belief.order = assignment.order;
-  belief.assigned = assignment.endpoint;
-  belief.denied_at.erase(assignment.endpoint);
-  if (belief.confirmed != assignment.endpoint) {
-    belief.confirmed.clear();
-    belief.failing_since.reset();
+  state.order = assignment.order;
+  state.assigned = assignment.endpoint;
+  state.refused_at.erase(assignment.endpoint);
+  if (state.confirmed != assignment.endpoint) {
+    state.confirmed.clear();
+    state.failing_since.reset();
   }
 }
 
 void PrimaryView::OnConfirmed(Time now,
                               const std::string& group,
                               const std::string& endpoint) {
-  Belief& belief = beliefs_[group];
-  belief.confirmed = endpoint;
-  belief.contacted = endpoint;
-  belief.denied_at.erase(endpoint);
-  belief.success_at = now;
-  belief.failing_since.reset();
+  PrimaryState& state = states_[group];
+  state.confirmed = endpoint;
+  state.contacted = endpoint;
+  state.refused_at.erase(endpoint);
+  state.success_at = now;
+  state.failing_since.reset();
 }
 
-void PrimaryView::OnDenied(Time now,
-                           const std::string& group,
-                           const std::string& endpoint) {
-  Belief& belief = beliefs_[group];
-  belief.denied_at[endpoint] = now;
-  if (belief.confirmed == endpoint)
-    belief.confirmed.clear();
+void PrimaryView::OnRefused(Time now,
+                            const std::string& group,
+                            const std::string& endpoint) {
+  PrimaryState& state = states_[group];
+  state.refused_at[endpoint] = now;
+  if (state.confirmed == endpoint)
+    state.confirmed.clear();
 }
 
 void PrimaryView::OnUnreachable(Time now,
                                 const std::string& group,
                                 const std::string& endpoint) {
-  Belief& belief = beliefs_[group];
-  if (belief.contacted != endpoint) {
-    belief.contacted = endpoint;
-    belief.success_at.reset();
-    belief.failing_since.reset();
+  PrimaryState& state = states_[group];
+  if (state.contacted != endpoint) {
+    state.contacted = endpoint;
+    state.success_at.reset();
+    state.failing_since.reset();
   }
-  if (!belief.failing_since)
-    belief.failing_since = now;
+  if (!state.failing_since)
+    state.failing_since = now;
 }
 
-bool PrimaryView::IsDenied(Time now,
-                           const Belief& belief,
-                           const std::string& endpoint) const {
-  const auto it = belief.denied_at.find(endpoint);
-  if (it == belief.denied_at.end())
+bool PrimaryView::HasRecentlyRefused(Time now,
+                                     const PrimaryState& state,
+                                     const std::string& endpoint) const {
+  const auto it = state.refused_at.find(endpoint);
+  if (it == state.refused_at.end())
     return false;
   const auto* entry = directory_->Find(endpoint);
   if (entry != nullptr && entry->record.primary &&
       entry->changed_at > it->second)
     return false;
-  return now < it->second + kDenialLasts;
+  return now < it->second + kRefusalValidity;
 }
 
 std::string PrimaryView::PrimaryOf(Time now, const std::string& group) const {
-  const auto it = beliefs_.find(group);
-  static const Belief none;
-  const Belief& belief = it == beliefs_.end() ? none : it->second;
+  const auto it = states_.find(group);
+  static const PrimaryState none;
+  const PrimaryState& state = it == states_.end() ? none : it->second;
   const auto usable = [&](const std::string& endpoint) {
-    if (endpoint.empty() || IsDenied(now, belief, endpoint))
+    if (endpoint.empty() || HasRecentlyRefused(now, state, endpoint))
       return false;
     const auto* entry = directory_->Find(endpoint);
     return entry != nullptr && !entry->record.gone &&
            entry->record.group == group;
   };
-  if (usable(belief.confirmed))
-    return belief.confirmed;
-  if (usable(belief.assigned) && belief.denied_at.count(belief.assigned) == 0)
-    return belief.assigned;
+  if (usable(state.confirmed))
+    return state.confirmed;
+  if (usable(state.assigned) && state.refused_at.count(state.assigned) == 0)
+    return state.assigned;
   const routing::EndpointDirectory::Entry* newest = nullptr;
   for (const auto* member : directory_->MembersOf(group)) {
     if (!member->record.primary || !usable(member->record.endpoint))
@@ -97,7 +98,7 @@
   }
   if (newest != nullptr)
     return newest->record.endpoint;
-  return usable(belief.assigned) ? belief.assigned : "";
+  return usable(state.assigned) ? state.assigned : "";
 }
 
 std::vector<messages::PrimaryContact> PrimaryView::Contacts(Time now) const {
@@ -105,17 +106,16 @@
     return std::chrono::ceil<std::chrono::milliseconds>(duration).count();
   };
   std::vector<messages::PrimaryContact> contacts;
-  for (const auto& [group, belief] : beliefs_) {
-    if (belief.contacted.empty())
+  for (const auto& [group, state] : states_) {
+    if (state.contacted.empty())
       continue;
     messages::PrimaryContact contact;
     contact.group = group;
-    contact.endpoint = belief.contacted;
+    contact.endpoint = state.contacted;
     contact.success_age_ms =
-        belief.success_at ? milliseconds(now - *belief.success_at) : -1;
-    contact.failing_ms = belief.failing_since
-                             ? milliseconds(now - *belief.failing_since) + 1
-                             : 0;
+        state.success_at ? milliseconds(now - *state.success_at) : -1;
+    contact.failing_ms =
+        state.failing_since ? milliseconds(now - *state.failing_since) + 1 : 0;
     contacts.push_back(contact);
   }
   return contacts;
--- a/statements/src/proxy_admission.cc
+++ b/statements/src/proxy_admission.cc
@@ -8,13 +8,13 @@
 
 namespace goldcrest::statements {
 
-// Looks up the route and the customer of an operation that begins. Answers and
-// returns false when it may not run.
+// Looks up the route and the customer of a new operation. Refuses the operation
+// and returns false when it may not run.
 bool StatementProxy::StartOperation(Time now, Session& session) {
   session.table = table_;
   session.route = table_->FindRoute(session.database);
   session.started_at = now;
-  session.ran = false;
+  session.statement_succeeded = false;
   session.aborted = false;
   session.connection = 0;
   if (session.route == nullptr) {
@@ -30,11 +30,11 @@
   return true;
 }
 
-// Takes a token of the customer's rate; false when the operation has to wait
-// for one.
-bool StatementProxy::Admit(Time now, Session& session) {
+// Takes a token from the customer's rate limit; returns false when the
+// operation has to wait for one.
+bool StatementProxy::AdmitOperation(Time now, Session& session) {
   if (holder_.TryTake(now, session.customer)) {
-    session.pending->counted = true;
+    session.pending->token_taken = true;
     return true;
   }
   holder_.Wait(now, session.customer);
@@ -42,9 +42,9 @@
   return false;
 }
 
-// The newest operation goes first: a customer that keeps above its rate would
-// otherwise have each operation served just before it is given up.
-void StatementProxy::ServeWaitingForTokens(Time now) {
+// Admits the newest operation first: otherwise, each operation of a customer
+// that stays above its rate would be admitted just before its deadline.
+void StatementProxy::AdmitWaitingOperations(Time now) {
   std::vector<SessionId> waiters = std::exchange(token_waiters_, {});
   std::ranges::reverse(waiters);
   std::vector<SessionId> left;
@@ -54,30 +54,30 @@
       continue;
     Session& session = it->second;
     if (holder_.TryTakeWaiting(now, session.customer)) {
-      session.pending->counted = true;
+      session.pending->token_taken = true;
       const StatementKind kind = session.pending->statement.kind;
       if (kind == StatementKind::kBegin ||
           kind == StatementKind::kBeginReadOnly) {
         session.pending.reset();
         session.state = TransactionState::kOpen;
         ReplyLocally(now, session, Answer::Completed());
-        NextFromInbox(now, id);
+        HandleQueuedStatements(now, id);
       } else {
-        waiting_[session.route->group].push_back(id);
-        Dispatch(now, session, Opening::kAllowed);
+        waiting_sessions_[session.route->group].push_back(id);
+        Dispatch(now, session, ConnectionPolicy::kMayOpen);
       }
       continue;
     }
-    if (now >= session.pending->give_up) {
+    if (now >= session.pending->give_up_at) {
       holder_.StopWaiting(session.customer);
       Refuse(now, session, Outcome::kBusy,
              "customer's rate exceeded; retry after 500 ms");
-      NextFromInbox(now, id);
+      HandleQueuedStatements(now, id);
       continue;
     }
     left.push_back(id);
   }
-  // Those that began to wait meanwhile are newer.
+  // Operations that began to wait during the loop are newer.
   std::ranges::reverse(left);
   token_waiters_.insert(token_waiters_.begin(), left.begin(), left.end());
 }
--- a/statements/src/proxy_answers.cc
+++ b/statements/src/proxy_answers.cc
@@ -1,4 +1,4 @@
-// Answers of endpoints, lost connections and deadlines.
+// Answers of endpoints, lost connections, retries and timeouts.
 
 #include <algorithm>
 #include <chrono>
@@ -10,16 +10,17 @@
 
 constexpr int kMaxAttempts = 12;
 
-// How long an endpoint is left out for one statement after it refused it.
-constexpr Duration kBusyPause = std::chrono::milliseconds(40);
-constexpr Duration kOtherPause = std::chrono::milliseconds(400);
+// How long a statement avoids an endpoint that refused it as busy, or where it
+// failed otherwise.
+constexpr Duration kBusyEndpointDelay = std::chrono::milliseconds(40);
+constexpr Duration kFailedEndpointDelay = std::chrono::milliseconds(400);
 
-// Statements that only the primary may run are tried again there after this.
-constexpr Duration kPrimaryPause = std::chrono::milliseconds(15);
+// Delay before a statement that only the primary may run is retried there.
+constexpr Duration kPrimaryRetryDelay = std::chrono::milliseconds(15);
 
-// A connection whose answer nobody awaits any more is closed after this: the
-// answer was lost.
-constexpr Duration kLostAnswer = std::chrono::milliseconds(1500);
+// A connection that no session uses is closed when its oldest answer has been
+// outstanding for this long: the answer was lost.
+constexpr Duration kLostAnswerTimeout = std::chrono::milliseconds(1500);
 
 }  // namespace
 
@@ -38,9 +39,9 @@
     return;
   const std::string group = connection->group;
   if (outcome != Outcome::kTooManyConnections)
-    NoteUnreachable(now, group, connection->endpoint);
-  DecideOnConnection(*connection, "connection_refused", NameOf(outcome),
-                     now - connection->since);
+    ReportUnreachablePrimary(now, group, connection->endpoint);
+  ReportConnectionDecision(*connection, "connection_refused", NameOf(outcome),
+                           now - connection->state_since);
   pool_.OnOpenFailed(now, id, outcome);
   DispatchGroup(now, group);
 }
@@ -49,61 +50,63 @@
   Connection* connection = pool_.Find(id);
   if (connection == nullptr)
     return;
-  if (connection->expected.empty()) {
-    DecideOnConnection(*connection, "connection_closed", "answer to nothing");
+  if (connection->expected_answers.empty()) {
+    ReportConnectionDecision(*connection, "connection_closed",
+                             "answer to nothing");
     pool_.Close(id);
     return;
   }
-  const Connection::Expected expected = connection->expected.front();
-  connection->expected.pop_front();
-  if (!connection->expected.empty())
-    connection->expected.front().worked_on_since = now;
+  const Connection::ExpectedAnswer expected =
+      connection->expected_answers.front();
+  connection->expected_answers.pop_front();
+  if (!connection->expected_answers.empty())
+    connection->expected_answers.front().processing_since = now;
   const std::string group = connection->group;
   if (answer.position)
     pool_.OnPosition(connection->endpoint, *answer.position);
   switch (expected.kind) {
-    case Connection::Expected::Kind::kSetup:
+    case Connection::ExpectedAnswer::Kind::kSetup:
       if (answer.outcome == Outcome::kDone)
         return;
-      DecideOnConnection(
+      ReportConnectionDecision(
           *connection, "connection_closed",
           std::string("session state refused: ") + NameOf(answer.outcome));
       hooks_.close(id);
       return OnConnectionClosed(now, id);
-    case Connection::Expected::Kind::kCleanup:
+    case Connection::ExpectedAnswer::Kind::kCleanup:
       break;
-    case Connection::Expected::Kind::kBegin:
+    case Connection::ExpectedAnswer::Kind::kBegin:
       OnBeginAnswer(now, *connection, answer, expected.sent_at);
       break;
-    case Connection::Expected::Kind::kStatement:
+    case Connection::ExpectedAnswer::Kind::kStatement:
       if (answer.outcome == Outcome::kDone)
-        pool_.OnLatency(connection->endpoint, now - expected.worked_on_since);
+        pool_.OnLatency(connection->endpoint, now - expected.processing_since);
       OnStatementAnswer(now, *connection, answer, expected.sent_at);
       break;
   }
   DispatchGroup(now, group);
 }
 
-// Controllers are told how entries fare with primaries only.
-void StatementProxy::NoteUnreachable(Time now,
-                                     const std::string& group,
-                                     const std::string& endpoint) {
+// Only failures of primaries are reported to the controllers.
+void StatementProxy::ReportUnreachablePrimary(Time now,
+                                              const std::string& group,
+                                              const std::string& endpoint) {
   if (primaries_.PrimaryOf(now, group) == endpoint)
     primaries_.OnUnreachable(now, group, endpoint);
 }
 
-void StatementProxy::DecideOnConnection(const Connection& connection,
-                                        const std::string& event,
-                                        const std::string& cause,
-                                        Duration age) {
+void StatementProxy::ReportConnectionDecision(const Connection& connection,
+                                              const std::string& event,
+                                              const std::string& cause,
+                                              Duration age) {
   hooks_.decided({event, "", connection.group, connection.endpoint, cause, age,
                   Version()});
 }
 
-void StatementProxy::Learn(Time now,
-                           const Connection& connection,
-                           const Answer& answer,
-                           Time sent_at) {
+void StatementProxy::RecordPrimaryAnswer(Time now,
+                                         const Connection& connection,
+                                         const Answer& answer,
+                                         Time sent_at) {
   primaries_.OnConfirmed(now, connection.group, connection.endpoint);
   if (answer.position)
     positions_[connection.group].Confirm(sent_at, *answer.position);
@@ -114,18 +117,18 @@
                                    const Answer& answer,
                                    Time sent_at) {
   if (answer.outcome == Outcome::kDone) {
-    if (connection.leads_checked)
-      Learn(now, connection, answer, sent_at);
+    if (connection.requires_primary)
+      RecordPrimaryAnswer(now, connection, answer, sent_at);
     const auto it = sessions_.find(connection.session);
     if (it == sessions_.end() || !it->second.pending)
-      return CleanUp(now, connection);
+      return CleanUpConnection(now, connection);
     return SendStatement(now, it->second, connection, std::nullopt);
   }
   if (answer.outcome == Outcome::kReadOnly)
-    primaries_.OnDenied(now, connection.group, connection.endpoint);
+    primaries_.OnRefused(now, connection.group, connection.endpoint);
   const auto it = sessions_.find(connection.session);
   const std::string endpoint = connection.endpoint;
-  CleanUp(now, connection);
+  CleanUpConnection(now, connection);
   if (it == sessions_.end())
     return;
   it->second.connection = 0;
@@ -133,54 +136,54 @@
     return;
   const SessionId id = it->first;
   Refuse(now, it->second, answer.outcome, answer.message);
-  NextFromInbox(now, id);
+  HandleQueuedStatements(now, id);
 }
 
 void StatementProxy::OnStatementAnswer(Time now,
                                        Connection& connection,
                                        const Answer& answer,
                                        Time sent_at) {
-  const bool refused_lead = answer.outcome == Outcome::kReadOnly;
-  if (answer.outcome == Outcome::kDone && connection.leads_checked)
-    Learn(now, connection, answer, sent_at);
+  const bool refused_as_replica = answer.outcome == Outcome::kReadOnly;
+  if (answer.outcome == Outcome::kDone && connection.requires_primary)
+    RecordPrimaryAnswer(now, connection, answer, sent_at);
   const auto it = sessions_.find(connection.session);
   if (it == sessions_.end() || !it->second.pending)
-    return CleanUp(now, connection);
+    return CleanUpConnection(now, connection);
   Session& session = it->second;
-  if (refused_lead && NeedsPrimary(session))
-    primaries_.OnDenied(now, connection.group, connection.endpoint);
+  if (refused_as_replica && NeedsPrimary(session))
+    primaries_.OnRefused(now, connection.group, connection.endpoint);
   const SessionId id = session.id;
   if (session.state == TransactionState::kIdle) {
     if (answer.outcome == Outcome::kDone &&
         Writes(session, session.pending->statement))
-      Learn(now, connection, answer, sent_at);
-    OnSingleAnswer(now, session, connection, answer);
+      RecordPrimaryAnswer(now, connection, answer, sent_at);
+    OnAutocommitAnswer(now, session, connection, answer);
   } else {
     OnTransactionAnswer(now, session, connection, answer);
   }
-  NextFromInbox(now, id);
+  HandleQueuedStatements(now, id);
 }
 
-void StatementProxy::OnSingleAnswer(Time now,
-                                    Session& session,
-                                    Connection& connection,
-                                    const Answer& answer) {
+void StatementProxy::OnAutocommitAnswer(Time now,
+                                        Session& session,
+                                        Connection& connection,
+                                        const Answer& answer) {
   const bool writes = Writes(session, session.pending->statement);
   const std::string endpoint = connection.endpoint;
   session.connection = 0;
   if (answer.outcome == Outcome::kUnknownPrepared)
     connection.prepared.clear();
-  CleanUp(now, connection);
+  CleanUpConnection(now, connection);
   if (answer.outcome == Outcome::kDone) {
     if (writes && answer.position)
-      session.own_commit = std::max(session.own_commit, *answer.position);
+      session.last_commit = std::max(session.last_commit, *answer.position);
     EndOperation(now, session, Outcome::kDone);
     return Reply(now, session, answer);
   }
   const bool repeatable = IsNotRun(answer.outcome) || !writes;
   if (repeatable && Retry(now, session, endpoint, answer.outcome))
     return;
-  Decide(now, session, "failed", endpoint, NameOf(answer.outcome));
+  ReportDecision(now, session, "failed", endpoint, NameOf(answer.outcome));
   EndOperation(now, session, answer.outcome);
   Reply(now, session, answer);
 }
@@ -192,14 +195,14 @@
   const bool commit = session.pending->statement.kind == StatementKind::kCommit;
   const std::string endpoint = connection.endpoint;
   if (answer.outcome == Outcome::kDone) {
-    session.ran = true;
+    session.statement_succeeded = true;
     if (!commit)
       return Reply(now, session, answer);
     if (!session.read_only && answer.position)
-      session.own_commit = std::max(session.own_commit, *answer.position);
+      session.last_commit = std::max(session.last_commit, *answer.position);
     session.connection = 0;
     connection.in_transaction = false;
-    CleanUp(now, connection);
+    CleanUpConnection(now, connection);
     session.state = TransactionState::kIdle;
     EndOperation(now, session, Outcome::kDone);
     return Reply(now, session, answer);
@@ -207,58 +210,59 @@
   session.connection = 0;
   if (answer.outcome == Outcome::kUnknownPrepared)
     connection.prepared.clear();
-  CleanUp(now, connection);
-  const bool first = !session.ran;
+  CleanUpConnection(now, connection);
+  const bool first = !session.statement_succeeded;
   if (!commit && first && IsNotRun(answer.outcome) &&
       Retry(now, session, endpoint, answer.outcome))
     return;
-  Decide(now, session, "failed", endpoint, NameOf(answer.outcome));
+  ReportDecision(now, session, "failed", endpoint, NameOf(answer.outcome));
   session.state = commit ? TransactionState::kIdle : TransactionState::kFailed;
   if (commit)
     EndOperation(now, session, answer.outcome);
   Reply(now, session, answer);
 }
 
-// Puts a statement that has not run, or may run again, back in line. False when
-// its time or its attempts are used up.
+// Queues a statement again that has not run or may be repeated. Returns false
+// when its time or its attempts are used up.
 bool StatementProxy::Retry(Time now,
                            Session& session,
                            const std::string& endpoint,
                            Outcome outcome) {
-  Pending& pending = *session.pending;
-  if (pending.attempts >= kMaxAttempts || now >= pending.give_up)
+  PendingStatement& pending = *session.pending;
+  if (pending.attempts >= kMaxAttempts || now >= pending.give_up_at)
     return false;
   pending.last_cause = endpoint + ": " + NameOf(outcome);
   const bool primary = NeedsPrimary(session);
-  if (outcome == Outcome::kBehind && pending.after)
-    pool_.OnBehind(now, endpoint, *pending.after);
+  if (outcome == Outcome::kBehind && pending.required_position)
+    pool_.OnBehind(now, endpoint, *pending.required_position);
   if (outcome == Outcome::kBusy)
     pool_.OnBusy(now, endpoint);
-  Duration pause = kOtherPause;
+  Duration pause = kFailedEndpointDelay;
   if (outcome == Outcome::kBusy)
-    pause = kBusyPause;
+    pause = kBusyEndpointDelay;
   if (primary)
     pending.retry_at =
-        outcome == Outcome::kReadOnly ? now : now + kPrimaryPause;
+        outcome == Outcome::kReadOnly ? now : now + kPrimaryRetryDelay;
   else if (outcome != Outcome::kBehind)
-    pending.avoid[endpoint] = now + pause;
+    pending.avoided_until[endpoint] = now + pause;
   pending.sent = false;
-  waiting_[session.route->group].push_back(session.id);
-  Decide(now, session, "retried", endpoint, NameOf(outcome));
+  waiting_sessions_[session.route->group].push_back(session.id);
+  ReportDecision(now, session, "retried", endpoint, NameOf(outcome));
   return true;
 }
 
-// Makes the connection idle, rolling back what is open on it.
-void StatementProxy::CleanUp(Time now, Connection& connection) {
-  if (!connection.expected.empty()) {
-    connection.session = 0;  // Called again with the last answer.
+// Makes the connection idle once it has no outstanding answers, and rolls back
+// a transaction that is open on it.
+void StatementProxy::CleanUpConnection(Time now, Connection& connection) {
+  if (!connection.expected_answers.empty()) {
+    connection.session = 0;  // Called again at the last answer.
     return;
   }
   if (connection.in_transaction) {
     EndpointCommand rollback;
     rollback.kind = EndpointCommand::Kind::kRollback;
-    connection.expected.push_back(
-        {Connection::Expected::Kind::kCleanup, now, now});
+    connection.expected_answers.push_back(
+        {Connection::ExpectedAnswer::Kind::kCleanup, now, now});
     Send(connection, {rollback});
   }
   pool_.Release(now, connection);
@@ -269,35 +273,35 @@
   if (connection == nullptr)
     return;
   const Connection lost = *connection;
-  pool_.Forget(id);
-  if (lost.state == Connection::State::kIdle && lost.expected.empty())
-    return;  // The endpoint closes connections that idle.
+  pool_.Remove(id);
+  if (lost.state == Connection::State::kIdle && lost.expected_answers.empty())
+    return;  // The endpoint closes idle connections.
   pool_.OnFailure(now, lost.endpoint);
-  NoteUnreachable(now, lost.group, lost.endpoint);
+  ReportUnreachablePrimary(now, lost.group, lost.endpoint);
   const auto it = sessions_.find(lost.session);
   if (it != sessions_.end() && it->second.connection == id) {
     it->second.connection = 0;
-    LoseConnection(now, it->second, "connection closed by " + lost.endpoint);
-    NextFromInbox(now, lost.session);
+    OnConnectionLost(now, it->second, "connection closed by " + lost.endpoint);
+    HandleQueuedStatements(now, lost.session);
   }
   DispatchGroup(now, lost.group);
 }
 
-// The session's connection is gone: what ran on it in a transaction is rolled
-// back; a commit or a single write may have taken effect.
-void StatementProxy::LoseConnection(Time now,
-                                    Session& session,
-                                    const std::string& cause) {
+// The session has lost its connection: an open transaction is rolled back; a
+// commit or a write outside a transaction may have taken effect.
+void StatementProxy::OnConnectionLost(Time now,
+                                      Session& session,
+                                      const std::string& cause) {
   const bool transaction = session.state == TransactionState::kOpen;
   if (!session.pending) {
     session.aborted = true;
-    Decide(now, session, "transaction_lost", "", cause);
+    ReportDecision(now, session, "transaction_lost", "", cause);
     return;
   }
-  Pending& pending = *session.pending;
+  PendingStatement& pending = *session.pending;
   const bool commit = pending.statement.kind == StatementKind::kCommit;
   const bool writes = Writes(session, pending.statement);
-  if (!pending.sent && (!transaction || !session.ran)) {
+  if (!pending.sent && (!transaction || !session.statement_succeeded)) {
     if (Retry(now, session, cause, Outcome::kFailed))
       return;
     return Refuse(now, session, Outcome::kBusy, "not run; retry after 200 ms");
@@ -316,8 +320,8 @@
   } else {
     answer.outcome = Outcome::kTimedOut;
   }
-  Decide(now, session, "failed", "",
-         std::string(NameOf(answer.outcome)) + ": " + cause);
+  ReportDecision(now, session, "failed", "",
+                 std::string(NameOf(answer.outcome)) + ": " + cause);
   if (session.state == TransactionState::kIdle)
     EndOperation(now, session, answer.outcome);
   ReplyLocally(now, session, std::move(answer));
@@ -327,52 +331,56 @@
   Connection* connection = pool_.Find(session.connection);
   if (connection != nullptr) {
     pool_.OnFailure(now, connection->endpoint);
-    NoteUnreachable(now, connection->group, connection->endpoint);
+    ReportUnreachablePrimary(now, connection->group, connection->endpoint);
   }
-  session.pending->give_up = now;  // No retry: its time is over.
-  Abandon(now, session);
-  LoseConnection(now, session, "no answer within the statement timeout");
+  session.pending->give_up_at = now;  // Prevents a retry.
+  DetachConnection(now, session);
+  OnConnectionLost(now, session, "no answer within the statement timeout");
 }
 
 void StatementProxy::Tick(Time now) {
-  RefuseWaitingStarts(now);
-  ServeWaitingForTokens(now);
+  RefuseExpiredSessionStarts(now);
+  AdmitWaitingOperations(now);
   if (draining_)
     CloseIdleSessions(now);
   std::vector<SessionId> due;
   for (const auto& [id, session] : sessions_) {
-    const bool waits_for_token = session.pending && !session.pending->counted &&
+    const bool waits_for_token = session.pending &&
+                                 !session.pending->token_taken &&
                                  session.state == TransactionState::kIdle;
     const bool late =
         session.pending && !waits_for_token &&
         (now >= session.pending->deadline ||
-         (!session.pending->sent && now >= session.pending->give_up));
-    if (late || now >= session.idle_until)
+         (!session.pending->sent && now >= session.pending->give_up_at));
+    if (late || now >= session.transaction_idle_deadline)
       due.push_back(id);
   }
   for (const SessionId id : due) {
     Session& session = sessions_.at(id);
     if (!session.pending) {
-      session.idle_until = kNever;
-      Abandon(now, session);
+      session.transaction_idle_deadline = kNever;
+      DetachConnection(now, session);
       session.aborted = true;
-      Decide(now, session, "transaction_ended", "", "idle for too long");
+      ReportDecision(now, session, "transaction_ended", "",
+                     "idle for too long");
       continue;
     }
-    const bool ran = session.state == TransactionState::kOpen && session.ran;
+    const bool ran =
+        session.state == TransactionState::kOpen && session.statement_succeeded;
     if (session.pending->sent || ran) {
       OnStatementTimeout(now, session);
     } else {
-      Abandon(now, session);
+      DetachConnection(now, session);
       Refuse(
           now, session, Outcome::kBusy,
           "not run: " + session.pending->last_cause + "; retry after 100 ms");
     }
-    NextFromInbox(now, id);
+    HandleQueuedStatements(now, id);
   }
-  for (const ConnectionId id : pool_.Stuck(now - kLostAnswer)) {
-    DecideOnConnection(*pool_.Find(id), "connection_closed",
-                       "an answer was lost");
+  for (const ConnectionId id :
+       pool_.UnansweredSince(now - kLostAnswerTimeout)) {
+    ReportConnectionDecision(*pool_.Find(id), "connection_closed",
+                             "an answer was lost");
     pool_.Close(id);
   }
   pool_.CloseIdle(now, [this](const std::string& endpoint) {
@@ -381,7 +389,7 @@
            (entry->record.draining && !entry->record.primary);
   });
   std::vector<std::string> groups;
-  for (const auto& [group, ids] : waiting_) {
+  for (const auto& [group, ids] : waiting_sessions_) {
     if (!ids.empty())
       groups.push_back(group);
   }
@@ -398,9 +406,9 @@
   for (auto& [id, session] : sessions_) {
     if (session.state != TransactionState::kOpen || session.pending)
       continue;
-    Abandon(now, session);
+    DetachConnection(now, session);
     session.aborted = true;
-    Decide(now, session, "transaction_ended", "", "planned stop");
+    ReportDecision(now, session, "transaction_ended", "", "planned stop");
   }
 }
 
--- a/statements/src/proxy_dispatch.cc
+++ b/statements/src/proxy_dispatch.cc
@@ -1,4 +1,4 @@
-// Dispatch: which endpoint and which connection may run a statement.
+// Dispatch: chooses the endpoint and the connection for each statement.
 
 #include <algorithm>
 #include <chrono>
@@ -8,24 +8,24 @@
 namespace goldcrest::statements {
 namespace {
 
-// What a choice costs beside the expected wait: a new connection takes a slot
-// of the endpoint for some 12 ms and two round trips.
+// Costs of a candidate endpoint that are added to its expected wait. A new
+// connection takes a slot of the endpoint for some 12 ms and two round trips.
 constexpr Duration kHandshakeCost = std::chrono::milliseconds(14);
 // Traffic between availability zones costs money and a round trip.
 constexpr Duration kOtherZoneCost = std::chrono::milliseconds(14);
-// Reads leave the primary to the statements that need it.
+// Keeps reads off the primary in favour of statements that need it.
 constexpr Duration kPrimaryCost = std::chrono::milliseconds(12);
 
-// An entry may exceed its even part of an endpoint's connections this many
-// times while all that it has are in use.
-constexpr int kMaxOverEvenPart = 4;
+// While all of its connections to an endpoint are in use, an entry may open up
+// to this multiple of its equal share.
+constexpr int kMaxShareMultiple = 4;
 
-// A statement that has waited this long opens a connection before younger ones
-// take the idle ones.
-constexpr Duration kOpenAnywayAfter = std::chrono::milliseconds(80);
+// A statement that has waited this long may open a connection before newer
+// statements take the idle ones.
+constexpr Duration kMaxIdleConnectionWait = std::chrono::milliseconds(80);
 
-// Connections of each endpoint left to the controllers, which probe it.
-constexpr int kReservedConnections = 1;
+// Connections of each endpoint that are left to the probes of the controllers.
+constexpr int kProbeConnections = 1;
 
 }  // namespace
 
@@ -48,8 +48,8 @@
 }
 
 void StatementProxy::DispatchGroup(Time now, const std::string& group) {
-  const auto found = waiting_.find(group);
-  if (found == waiting_.end() || found->second.empty())
+  const auto found = waiting_sessions_.find(group);
+  if (found == waiting_sessions_.end() || found->second.empty())
     return;
   struct Waiting {
     int priority;
@@ -73,71 +73,75 @@
     return std::tie(left.priority, left.arrival) <
            std::tie(right.priority, right.arrival);
   });
-  // First those that can use an idle connection of their customer, then those
-  // that need a new one: opening takes a slot of the endpoint, and would close
-  // idle connections that others wait for. Who has waited long goes first.
+  // First dispatches statements that can use an idle connection of their
+  // customer, then those that need a new one: opening takes a slot of the
+  // endpoint and may close an idle connection that another statement waits for.
+  // Overdue statements may open one in the first pass.
   for (const Waiting& waiting : order) {
-    waiting_[group].push_back(waiting.id);
-    const bool overdue = now - waiting.arrival >= kOpenAnywayAfter;
-    Dispatch(now, sessions_.at(waiting.id),
-             overdue ? Opening::kAllowed : Opening::kLater);
+    waiting_sessions_[group].push_back(waiting.id);
+    const bool overdue = now - waiting.arrival >= kMaxIdleConnectionWait;
+    Dispatch(
+        now, sessions_.at(waiting.id),
+        overdue ? ConnectionPolicy::kMayOpen : ConnectionPolicy::kIdleOnly);
   }
   for (const Waiting& waiting : order)
-    Dispatch(now, sessions_.at(waiting.id), Opening::kAllowed);
-  // Those that now run are dropped with the next call.
+    Dispatch(now, sessions_.at(waiting.id), ConnectionPolicy::kMayOpen);
+  // The next call removes the sessions whose statements were sent.
 }
 
-void StatementProxy::Dispatch(Time now, Session& session, Opening opening) {
+void StatementProxy::Dispatch(Time now,
+                              Session& session,
+                              ConnectionPolicy policy) {
   if (!session.pending || session.pending->sent || session.connection != 0 ||
       now < session.pending->retry_at)
     return;
   if (NeedsPrimary(session))
-    return DispatchToPrimary(now, session, opening);
-  const auto after = ReadPosition(session);
-  if (!after)
-    return DispatchToPrimary(now, session, opening);
-  DispatchToAny(now, session, *after, opening);
+    return DispatchToPrimary(now, session, policy);
+  const auto required_position = RequiredReadPosition(session);
+  if (!required_position)
+    return DispatchToPrimary(now, session, policy);
+  DispatchToAnyMember(now, session, *required_position, policy);
 }
 
 void StatementProxy::DispatchToPrimary(Time now,
                                        Session& session,
-                                       Opening opening) {
+                                       ConnectionPolicy policy) {
   const std::string primary = primaries_.PrimaryOf(now, session.route->group);
   if (primary.empty()) {
     session.pending->last_cause = "no primary known";
     return;
   }
-  if (!pool_.HasRoom(now, primary)) {
+  if (!pool_.HasCapacity(now, primary)) {
     session.pending->last_cause = "primary " + primary + " is busy";
     return;
   }
   session.pending->last_cause = "no connection to primary " + primary;
-  if (!Acquire(now, session, primary, opening))
+  if (!AcquireConnection(now, session, primary, policy))
     return;
-  Run(now, session, *pool_.Find(session.connection), std::nullopt);
+  StartStatement(now, session, *pool_.Find(session.connection), std::nullopt);
 }
 
-// The position that an endpoint must have reached for a read of the session;
+// The position that an endpoint must have reached to serve the session's read;
 // nullopt when only the primary can serve it.
-std::optional<LogPosition> StatementProxy::ReadPosition(
+std::optional<LogPosition> StatementProxy::RequiredReadPosition(
     const Session& session) {
   PositionHistory& history = positions_[session.route->group];
-  const auto covering =
-      history.Covering(session.pending->arrival - session.route->max_staleness);
+  const auto covering = history.PositionCovering(session.pending->arrival -
+                                                 session.route->max_staleness);
   if (!covering ||
       session.route->consistency != routing::Consistency::kReadYourWrites)
     return covering;
-  // A commit of an earlier term that was not rolled back is part of the term
-  // that `covering` belongs to.
-  if (session.own_commit.term < history.Term())
+  // `covering` belongs to the newest term, which contains every commit of an
+  // earlier term that was not rolled back.
+  if (session.last_commit.term < history.Term())
     return covering;
-  return std::max(*covering, session.own_commit);
+  return std::max(*covering, session.last_commit);
 }
 
-void StatementProxy::DispatchToAny(Time now,
-                                   Session& session,
-                                   LogPosition after,
-                                   Opening opening) {
+void StatementProxy::DispatchToAnyMember(Time now,
+                                         Session& session,
+                                         LogPosition required_position,
+                                         ConnectionPolicy policy) {
   struct Candidate {
     Duration cost;
     std::string endpoint;
@@ -147,10 +151,11 @@
   for (const auto* member : directory_.MembersOf(session.route->group)) {
     const std::string& endpoint = member->record.endpoint;
     if (member->record.draining || pool_.IsAvoided(now, endpoint) ||
-        pool_.IsBehind(now, endpoint, after))
+        pool_.IsBehind(now, endpoint, required_position))
       continue;
-    const auto avoided = session.pending->avoid.find(endpoint);
-    if (avoided != session.pending->avoid.end() && now < avoided->second)
+    const auto avoided = session.pending->avoided_until.find(endpoint);
+    if (avoided != session.pending->avoided_until.end() &&
+        now < avoided->second)
       continue;
     Duration cost = pool_.ExpectedWait(now, endpoint);
     if (!pool_.HasIdle(endpoint, session.customer))
@@ -164,20 +169,21 @@
   if (candidates.empty()) {
     session.pending->last_cause = "no endpoint can serve the read";
     // All replicas lag or fail; the primary has every commit.
-    return DispatchToPrimary(now, session, opening);
+    return DispatchToPrimary(now, session, policy);
   }
   std::ranges::sort(candidates, {}, &Candidate::cost);
   session.pending->last_cause = "no free connection";
   for (const Candidate& candidate : candidates) {
-    if (!pool_.HasRoom(now, candidate.endpoint))
+    if (!pool_.HasCapacity(now, candidate.endpoint))
       continue;
-    if (!Acquire(now, session, candidate.endpoint, opening)) {
-      if (opening == Opening::kLater ||
-          pool_.IsOpening(session.pending->opening))
+    if (!AcquireConnection(now, session, candidate.endpoint, policy)) {
+      if (policy == ConnectionPolicy::kIdleOnly ||
+          pool_.IsOpening(session.pending->opening_connection))
         return;
       continue;
     }
-    return Run(now, session, *pool_.Find(session.connection), after);
+    return StartStatement(now, session, *pool_.Find(session.connection),
+                          required_position);
   }
 }
 
@@ -189,79 +195,83 @@
   return it == table_->groups.end() ? 1 : it->second.connection_limit;
 }
 
-int StatementProxy::EvenPart(const std::string& endpoint) const {
-  const int limit = ConnectionLimit(endpoint) - kReservedConnections;
-  return std::max(1, limit / std::max(1, options_.entries));
+int StatementProxy::EqualConnectionShare(const std::string& endpoint) const {
+  const int limit = ConnectionLimit(endpoint) - kProbeConnections;
+  return std::max(1, limit / std::max(1, options_.entry_count));
 }
 
-// Gives the session an idle connection. Otherwise begins to open one, unless
-// that is under way, and returns false.
-bool StatementProxy::Acquire(Time now,
-                             Session& session,
-                             const std::string& endpoint,
-                             Opening opening) {
-  Connection* idle = pool_.Take(now, endpoint, session.customer, session.id);
+// Assigns an idle connection to the session and returns true. If there is none,
+// starts to open one unless one is being opened, and returns false.
+bool StatementProxy::AcquireConnection(Time now,
+                                       Session& session,
+                                       const std::string& endpoint,
+                                       ConnectionPolicy policy) {
+  Connection* idle =
+      pool_.TakeIdle(now, endpoint, session.customer, session.id);
   if (idle != nullptr) {
     session.connection = idle->id;
     return true;
   }
-  if (opening == Opening::kLater)
+  if (policy == ConnectionPolicy::kIdleOnly)
     return false;
-  if (pool_.IsOpening(session.pending->opening) &&
-      pool_.Find(session.pending->opening)->endpoint == endpoint)
+  if (pool_.IsOpening(session.pending->opening_connection) &&
+      pool_.Find(session.pending->opening_connection)->endpoint == endpoint)
     return false;
-  const int even = EvenPart(endpoint);
+  const int share = EqualConnectionShare(endpoint);
   const ConnectionTarget target{endpoint, session.route->group,
                                 session.customer};
-  ConnectionId id = pool_.Open(now, target, even);
+  ConnectionId id = pool_.Open(now, target, share);
   if (id == 0)
     id = pool_.Open(
         now, target,
-        std::min(ConnectionLimit(endpoint), even * kMaxOverEvenPart));
+        std::min(ConnectionLimit(endpoint), share * kMaxShareMultiple));
   if (id != 0)
-    session.pending->opening = id;
+    session.pending->opening_connection = id;
   return false;
 }
 
-// Begins a transaction on the endpoint where one is needed: for the caller's
-// own, and for a single read that only the primary may serve, because a
-// transaction that is not read-only is refused by an endpoint that has lost the
-// lead. Otherwise sends the statement.
-void StatementProxy::Run(Time now,
-                         Session& session,
-                         Connection& connection,
-                         std::optional<LogPosition> after) {
+// Sends BEGIN first for the caller's transaction and for a single read that
+// only the primary may serve, because an endpoint that is no longer primary
+// refuses a transaction that is not read-only. Otherwise sends the statement at
+// once.
+void StatementProxy::StartStatement(
+    Time now,
+    Session& session,
+    Connection& connection,
+    std::optional<LogPosition> required_position) {
   ++session.pending->attempts;
-  session.pending->after = after;
-  const bool primary = NeedsPrimary(session) || !after;
+  session.pending->required_position = required_position;
+  const bool primary = NeedsPrimary(session) || !required_position;
   const bool transaction = session.state == TransactionState::kOpen;
   const bool writes = Writes(session, session.pending->statement);
   if (!transaction && (writes || !primary))
-    return SendStatement(now, session, connection, after);
+    return SendStatement(now, session, connection, required_position);
   EndpointCommand begin;
   begin.kind = primary ? EndpointCommand::Kind::kBegin
                        : EndpointCommand::Kind::kBeginReadOnly;
   if (!primary)
-    begin.required_position = after;
+    begin.required_position = required_position;
   connection.in_transaction = true;
-  connection.leads_checked = primary;
-  connection.expected.push_back({Connection::Expected::Kind::kBegin, now, now});
+  connection.requires_primary = primary;
+  connection.expected_answers.push_back(
+      {Connection::ExpectedAnswer::Kind::kBegin, now, now});
   Send(connection, {begin});
 }
 
-void StatementProxy::SendStatement(Time now,
-                                   Session& session,
-                                   Connection& connection,
-                                   std::optional<LogPosition> after) {
-  Pending& pending = *session.pending;
+void StatementProxy::SendStatement(
+    Time now,
+    Session& session,
+    Connection& connection,
+    std::optional<LogPosition> required_position) {
+  PendingStatement& pending = *session.pending;
   std::vector<EndpointCommand> commands;
-  AppendSetup(session, connection, commands);
+  AppendSessionSetup(session, connection, commands);
   for (std::size_t i = 0; i < commands.size(); ++i)
-    connection.expected.push_back(
-        {Connection::Expected::Kind::kSetup, now, now});
+    connection.expected_answers.push_back(
+        {Connection::ExpectedAnswer::Kind::kSetup, now, now});
   EndpointCommand command;
   command.id = pending.statement.id;
-  command.required_position = after;
+  command.required_position = required_position;
   if (pending.statement.kind == StatementKind::kExecute) {
     const PreparedStatement& prepared =
         session.prepared.at(pending.statement.name);
@@ -272,18 +282,19 @@
     command.text = pending.statement.text;
   }
   commands.push_back(std::move(command));
-  connection.expected.push_back(
-      {Connection::Expected::Kind::kStatement, now, now});
+  connection.expected_answers.push_back(
+      {Connection::ExpectedAnswer::Kind::kStatement, now, now});
   pending.sent = true;
   Send(connection, commands);
 }
 
-// Gives the connection the session's values and the prepared statement that it
-// is about to execute. Names of prepared statements are those of the shapes, so
-// that sessions share them.
-void StatementProxy::AppendSetup(const Session& session,
-                                 Connection& connection,
-                                 std::vector<EndpointCommand>& commands) const {
+// Appends the commands that bring the connection to the session's values, and
+// prepare the statement to be executed. Prepared statements are named after
+// their shapes, so that sessions share them.
+void StatementProxy::AppendSessionSetup(
+    const Session& session,
+    Connection& connection,
+    std::vector<EndpointCommand>& commands) const {
   const bool surplus = std::ranges::any_of(
       connection.values,
       [&](const auto& item) { return session.values.count(item.first) == 0; });
--- a/statements/src/proxy_sessions.cc
+++ b/statements/src/proxy_sessions.cc
@@ -1,4 +1,4 @@
-// Sessions: what an entry answers itself, and admission of operations.
+// Sessions and the statements that an entry answers without an endpoint.
 
 #include <algorithm>
 #include <chrono>
@@ -8,26 +8,28 @@
 namespace goldcrest::statements {
 namespace {
 
-// Longest wait for a token of the customer's rate; the controllers answer a
-// report within a round trip, and the share's own rate yields the rest.
-constexpr Duration kTokenWait = std::chrono::milliseconds(300);
+// Longest wait for a token of the customer's rate limit. The controllers answer
+// a report within a round trip, and further tokens come from the rate of this
+// entry's share.
+constexpr Duration kMaxTokenWait = std::chrono::milliseconds(300);
 
-// A caller gives up its session when it is not accepted within two seconds.
-constexpr Duration kConfigurationWait = std::chrono::milliseconds(1500);
+// Longest wait of a new session for the first configuration. A caller abandons
+// a session that is not accepted within two seconds.
+constexpr Duration kMaxConfigurationWait = std::chrono::milliseconds(1500);
 
-// A statement that has found no endpoint by this part of its timeout is
-// refused, so that the caller can still come back within its own deadline.
+// A statement is refused when it has found no endpoint after 1 / kGiveUpDivisor
+// of its timeout, so that the caller can still retry within its own deadline.
 constexpr int kGiveUpDivisor = 2;
 
-// Statements of one operation that runs outside a transaction follow each other
-// sooner than this; a session closed between them loses the operation.
-constexpr Duration kOperationPause = std::chrono::milliseconds(60);
+// Statements of an operation that runs outside a transaction follow each other
+// within this time. Closing the session between them would break the operation.
+constexpr Duration kMaxPauseInOperation = std::chrono::milliseconds(60);
 
-constexpr const char* kRetryHint = "not run; retry after 100 ms";
+constexpr const char* kNotRunMessage = "not run; retry after 100 ms";
 
-// Until when an operation waits for a token.
+// When an operation stops waiting for a token.
 Time TokenDeadline(Time now, const routing::Route& route) {
-  return now + std::min(kTokenWait, route.target_latency);
+  return now + std::min(kMaxTokenWait, route.target_latency);
 }
 
 }  // namespace
@@ -42,7 +44,8 @@
                                     const std::string& database,
                                     const std::string& key) {
   if (!table_ && !draining_) {
-    waiting_starts_.push_back({id, database, key, now + kConfigurationWait});
+    pending_session_starts_.push_back(
+        {id, database, key, now + kMaxConfigurationWait});
     return;
   }
   Session& session = sessions_[id];
@@ -55,7 +58,7 @@
     Answer answer;
     answer.outcome = outcome;
     answer.message = message;
-    Decide(now, session, "session_refused", "", NameOf(outcome));
+    ReportDecision(now, session, "session_refused", "", NameOf(outcome));
     hooks_.answer(id, answer);
     sessions_.erase(id);
     hooks_.close_session(id);
@@ -70,16 +73,16 @@
   hooks_.answer(id, Answer::Completed());
 }
 
-// Answers callers for whom no configuration came in time.
-void StatementProxy::RefuseWaitingStarts(Time now) {
-  std::vector<WaitingStart> late;
-  std::erase_if(waiting_starts_, [&](WaitingStart& start) {
-    if (now < start.until)
+// Refuses new sessions for which no configuration has arrived in time.
+void StatementProxy::RefuseExpiredSessionStarts(Time now) {
+  std::vector<PendingSessionStart> late;
+  std::erase_if(pending_session_starts_, [&](PendingSessionStart& start) {
+    if (now < start.deadline)
       return false;
     late.push_back(std::move(start));
     return true;
   });
-  for (const WaitingStart& start : late) {
+  for (const PendingSessionStart& start : late) {
     Answer answer;
     answer.outcome = Outcome::kBusy;
     answer.message = "no configuration yet; retry after 500 ms";
@@ -94,33 +97,34 @@
   if (it == sessions_.end())
     return;
   Session& session = it->second;
-  if (session.pending || !session.inbox.empty()) {
-    session.inbox.push_back(std::move(statement));
+  if (session.pending || !session.queued_statements.empty()) {
+    session.queued_statements.push_back(std::move(statement));
     return;
   }
-  Handle(now, session, std::move(statement));
-  NextFromInbox(now, id);
+  HandleStatement(now, session, std::move(statement));
+  HandleQueuedStatements(now, id);
 }
 
 void StatementProxy::OnSessionClosed(Time now, SessionId id) {
-  std::erase_if(waiting_starts_, [id](const WaitingStart& start) {
-    return start.session == id;
-  });
+  std::erase_if(
+      pending_session_starts_,
+      [id](const PendingSessionStart& start) { return start.session == id; });
   const auto it = sessions_.find(id);
   if (it == sessions_.end())
     return;
   Session& session = it->second;
   if (session.pending && session.route != nullptr)
-    Decide(now, session, "caller_left", "", "session closed");
+    ReportDecision(now, session, "caller_left", "", "session closed");
   if (session.pending && std::ranges::count(token_waiters_, id) > 0)
     holder_.StopWaiting(session.customer);
   std::erase(token_waiters_, id);
-  Abandon(now, session);
+  DetachConnection(now, session);
   sessions_.erase(it);
 }
 
-// Frees the connection of a session that no longer waits for it.
-void StatementProxy::Abandon(Time now, Session& session) {
+// Detaches the session from its connection, which is reused once its
+// outstanding answers have arrived.
+void StatementProxy::DetachConnection(Time now, Session& session) {
   if (session.connection == 0)
     return;
   Connection* connection = pool_.Find(session.connection);
@@ -128,24 +132,27 @@
   if (connection == nullptr)
     return;
   connection->session = 0;
-  if (connection->expected.empty())
-    CleanUp(now, *connection);
+  if (connection->expected_answers.empty())
+    CleanUpConnection(now, *connection);
 }
 
-void StatementProxy::NextFromInbox(Time now, SessionId id) {
+void StatementProxy::HandleQueuedStatements(Time now, SessionId id) {
   while (true) {
     const auto it = sessions_.find(id);
-    if (it == sessions_.end() || it->second.pending || it->second.inbox.empty())
+    if (it == sessions_.end() || it->second.pending ||
+        it->second.queued_statements.empty())
       return;
-    Statement next = std::move(it->second.inbox.front());
-    it->second.inbox.pop_front();
-    Handle(now, it->second, std::move(next));
+    Statement next = std::move(it->second.queued_statements.front());
+    it->second.queued_statements.pop_front();
+    HandleStatement(now, it->second, std::move(next));
   }
 }
 
-void StatementProxy::Handle(Time now, Session& session, Statement statement) {
+void StatementProxy::HandleStatement(Time now,
+                                     Session& session,
+                                     Statement statement) {
   if (session.state == TransactionState::kOpen)
-    session.idle_until = kNever;
+    session.transaction_idle_deadline = kNever;
   const bool ends = statement.kind == StatementKind::kRollback ||
                     statement.kind == StatementKind::kCommit;
   if (session.aborted && !ends) {
@@ -173,7 +180,7 @@
     case StatementKind::kRead:
     case StatementKind::kWrite:
     case StatementKind::kExecute:
-      return HandleRunnable(now, session, std::move(statement));
+      return HandleEndpointStatement(now, session, std::move(statement));
     case StatementKind::kMalformed:
       FailTransaction(session);
       return ReplyError(now, session, Outcome::kMalformed,
@@ -191,12 +198,12 @@
   session.read_only = statement.kind == StatementKind::kBeginReadOnly;
   if (!StartOperation(now, session))
     return;
-  session.pending = Pending{};
+  session.pending = PendingStatement{};
   session.pending->statement = std::move(statement);
   session.pending->arrival = now;
-  session.pending->give_up = TokenDeadline(now, *session.route);
-  session.pending->deadline = session.pending->give_up;
-  if (Admit(now, session)) {
+  session.pending->give_up_at = TokenDeadline(now, *session.route);
+  session.pending->deadline = session.pending->give_up_at;
+  if (AdmitOperation(now, session)) {
     session.pending.reset();
     session.state = TransactionState::kOpen;
     ReplyLocally(now, session, Answer::Completed());
@@ -208,7 +215,7 @@
     return ReplyError(now, session, Outcome::kMalformed,
                       "no transaction is open");
   }
-  Abandon(now, session);
+  DetachConnection(now, session);
   const bool failed = session.state == TransactionState::kFailed;
   session.state = TransactionState::kIdle;
   EndOperation(now, session, failed ? Outcome::kAborted : Outcome::kDone);
@@ -229,13 +236,13 @@
              "no such prepared statement");
 }
 
-void StatementProxy::HandleRunnable(Time now,
-                                    Session& session,
-                                    Statement statement) {
+void StatementProxy::HandleEndpointStatement(Time now,
+                                             Session& session,
+                                             Statement statement) {
   const bool commit = statement.kind == StatementKind::kCommit;
   if (commit && (session.state != TransactionState::kOpen || session.aborted)) {
     const bool open = session.state != TransactionState::kIdle;
-    Abandon(now, session);
+    DetachConnection(now, session);
     session.state = TransactionState::kIdle;
     session.aborted = false;
     if (!open)
@@ -253,29 +260,33 @@
   }
   if (session.state == TransactionState::kIdle && !StartOperation(now, session))
     return;
-  Submit(now, session, std::move(statement));
+  SubmitStatement(now, session, std::move(statement));
 }
 
-void StatementProxy::Submit(Time now, Session& session, Statement statement) {
-  session.pending = Pending{};
-  Pending& pending = *session.pending;
+void StatementProxy::SubmitStatement(Time now,
+                                     Session& session,
+                                     Statement statement) {
+  session.pending = PendingStatement{};
+  PendingStatement& pending = *session.pending;
   pending.statement = std::move(statement);
   pending.arrival = now;
   pending.deadline = now + session.route->statement_timeout;
-  const Time give_up = now + session.route->statement_timeout / kGiveUpDivisor;
+  const Time give_up_at =
+      now + session.route->statement_timeout / kGiveUpDivisor;
   if (session.state == TransactionState::kIdle) {
-    pending.give_up = std::min(give_up, TokenDeadline(now, *session.route));
-    if (!Admit(now, session))
+    pending.give_up_at =
+        std::min(give_up_at, TokenDeadline(now, *session.route));
+    if (!AdmitOperation(now, session))
       return;
   }
-  pending.give_up = give_up;
+  pending.give_up_at = give_up_at;
   if (session.connection != 0) {
     Connection* connection = pool_.Find(session.connection);
     if (connection != nullptr)
       return SendStatement(now, session, *connection, std::nullopt);
   }
-  waiting_[session.route->group].push_back(session.id);
-  Dispatch(now, session, Opening::kAllowed);
+  waiting_sessions_[session.route->group].push_back(session.id);
+  Dispatch(now, session, ConnectionPolicy::kMayOpen);
 }
 
 void StatementProxy::ReplyLocally(Time now, Session& session, Answer answer) {
@@ -298,14 +309,14 @@
     session.state = TransactionState::kFailed;
 }
 
-// Ends the pending statement. The caller's next statement is taken from the
-// inbox by whoever called in.
+// Answers the pending statement. The public function that was called goes on to
+// handle the session's queued statements.
 void StatementProxy::Reply(Time now, Session& session, Answer answer) {
   session.pending.reset();
   answer.state = session.state;
   if (session.state == TransactionState::kOpen &&
       table_->transaction_idle > Duration::zero())
-    session.idle_until = now + table_->transaction_idle;
+    session.transaction_idle_deadline = now + table_->transaction_idle;
   session.answered_at = now;
   hooks_.answer(session.id, answer);
 }
@@ -314,7 +325,7 @@
   std::vector<SessionId> idle;
   for (const auto& [id, session] : sessions_) {
     if (!session.pending && session.state == TransactionState::kIdle &&
-        now - session.answered_at >= kOperationPause)
+        now - session.answered_at >= kMaxPauseInOperation)
       idle.push_back(id);
   }
   for (const SessionId id : idle) {
@@ -327,33 +338,33 @@
                             Session& session,
                             Outcome outcome,
                             const std::string& message) {
-  Decide(now, session, "refused", "",
-         std::string(NameOf(outcome)) + ": " + message);
+  ReportDecision(now, session, "refused", "",
+                 std::string(NameOf(outcome)) + ": " + message);
   if (session.state == TransactionState::kOpen)
     session.state = TransactionState::kFailed;
   else
     EndOperation(now, session, outcome);
   Answer answer;
   answer.outcome = outcome;
-  answer.message = message.empty() ? kRetryHint : message;
+  answer.message = message.empty() ? kNotRunMessage : message;
   ReplyLocally(now, session, std::move(answer));
 }
 
 void StatementProxy::EndOperation(Time now, Session& session, Outcome outcome) {
-  session.idle_until = kNever;
+  session.transaction_idle_deadline = kNever;
   if (session.route != nullptr)
     hooks_.completed(*session.route, outcome, now - session.started_at);
   session.route = nullptr;
   session.table.reset();
   session.aborted = false;
-  session.ran = false;
+  session.statement_succeeded = false;
 }
 
-void StatementProxy::Decide(Time now,
-                            const Session& session,
-                            const std::string& event,
-                            const std::string& endpoint,
-                            const std::string& cause) {
+void StatementProxy::ReportDecision(Time now,
+                                    const Session& session,
+                                    const std::string& event,
+                                    const std::string& endpoint,
+                                    const std::string& cause) {
   Decision decision;
   decision.event = event;
   if (session.pending) {
--- a/statements/src/proxy_updates.cc
+++ b/statements/src/proxy_updates.cc
@@ -1,4 +1,4 @@
-// What controllers tell an entry: configuration, endpoints, positions.
+// Updates from controllers: configuration, endpoints, primaries and positions.
 
 #include <algorithm>
 #include <map>
@@ -50,7 +50,8 @@
                   {},
                   table->version});
   table_ = std::move(table);
-  for (const WaitingStart& start : std::exchange(waiting_starts_, {}))
+  for (const PendingSessionStart& start :
+       std::exchange(pending_session_starts_, {}))
     OnSessionStart(now, start.session, start.database, start.key);
 }
 
@@ -77,17 +78,17 @@
 }
 
 void StatementProxy::OnConfirmedPosition(const std::string& group,
-                                         Time asked_at,
+                                         Time requested_at,
                                          LogPosition position) {
-  positions_[group].Confirm(asked_at, position);
+  positions_[group].Confirm(requested_at, position);
 }
 
 void StatementProxy::OnEntryCount(int entries) {
-  options_.entries = std::max(1, entries);
+  options_.entry_count = std::max(1, entries);
 }
 
 void StatementProxy::OnShares(Time now) {
-  ServeWaitingForTokens(now);
+  AdmitWaitingOperations(now);
 }
 
 }  // namespace goldcrest::statements
--- a/statements/tests/connection_pool_test.cc
+++ b/statements/tests/connection_pool_test.cc
@@ -10,7 +10,7 @@
 
 constexpr Time kStart = TimeFromMicros(10'000'000);
 
-struct Pool {
+struct PoolFixture {
   std::vector<ConnectionId> closed;
   ConnectionPool pool{{[](ConnectionId, const ConnectionTarget&) {},
                        [this](ConnectionId id) { closed.push_back(id); }}};
@@ -26,44 +26,44 @@
 }  // namespace
 
 // Guards against an endpoint that spends its slots on refusing connections.
-TEST_CASE("Connections are opened a few at a time", "[statements]") {
-  Pool pool;
-  CHECK(pool.pool.Open(kStart, {"e", "g", "a"}, 8) != 0);
-  CHECK(pool.pool.Open(kStart, {"e", "g", "a"}, 8) != 0);
-  CHECK(pool.pool.Open(kStart, {"e", "g", "a"}, 8) == 0);
+TEST_CASE("Concurrent connection attempts to an endpoint are limited",
+          "[statements]") {
+  PoolFixture fixture;
+  CHECK(fixture.pool.Open(kStart, {"e", "g", "a"}, 8) != 0);
+  CHECK(fixture.pool.Open(kStart, {"e", "g", "a"}, 8) != 0);
+  CHECK(fixture.pool.Open(kStart, {"e", "g", "a"}, 8) == 0);
 }
 
-TEST_CASE("A full endpoint is left alone for longer each time",
+TEST_CASE("Connection attempts to a full endpoint back off exponentially",
           "[statements]") {
-  Pool pool;
+  PoolFixture fixture;
   Time now = kStart;
   for (const int pause : {40, 80, 160}) {
-    const ConnectionId id = pool.pool.Open(now, {"e", "g", "a"}, 8);
+    const ConnectionId id = fixture.pool.Open(now, {"e", "g", "a"}, 8);
     REQUIRE(id != 0);
-    pool.pool.OnOpenFailed(now, id, Outcome::kTooManyConnections);
+    fixture.pool.OnOpenFailed(now, id, Outcome::kTooManyConnections);
     now += milliseconds(pause - 1);
-    CHECK_FALSE(pool.pool.MayOpen(now, "e", 8));
+    CHECK_FALSE(fixture.pool.CanOpen(now, "e", 8));
     now += milliseconds(1);
-    CHECK(pool.pool.MayOpen(now, "e", 8));
+    CHECK(fixture.pool.CanOpen(now, "e", 8));
   }
 }
 
-// Guards against many entries that ask a full endpoint again and again, each
-// with a single statement.
-TEST_CASE(
-    "An endpoint without room for one statement is left alone for a while",
-    "[statements]") {
-  Pool pool;
+// Guards against many entries that repeatedly send a single statement each to
+// an endpoint whose slots are all in use.
+TEST_CASE("An endpoint that refuses a single statement as busy is paused",
+          "[statements]") {
+  PoolFixture fixture;
   Time now = kStart;
-  pool.pool.OnBusy(now, "e");
-  CHECK(pool.pool.HasRoom(now, "e"));
+  fixture.pool.OnBusy(now, "e");
+  CHECK(fixture.pool.HasCapacity(now, "e"));
   Duration last{};
   for (int refusal = 0; refusal < 6; ++refusal) {
     now += milliseconds(200);
-    REQUIRE(pool.pool.HasRoom(now, "e"));
-    pool.pool.OnBusy(now, "e");
+    REQUIRE(fixture.pool.HasCapacity(now, "e"));
+    fixture.pool.OnBusy(now, "e");
     const Time refused_at = now;
-    while (!pool.pool.HasRoom(now, "e"))
+    while (!fixture.pool.HasCapacity(now, "e"))
       now += milliseconds(1);
     CHECK(now - refused_at >= std::max<Duration>(milliseconds(10), last / 2));
     CHECK(now - refused_at <= milliseconds(160));
@@ -71,50 +71,52 @@
   }
   CHECK(last >= milliseconds(70));
   for (int answer = 0; answer < 8; ++answer)
-    pool.pool.OnLatency("e", milliseconds(5));
-  pool.pool.OnBusy(now + milliseconds(1), "e");
-  CHECK(pool.pool.HasRoom(now + milliseconds(21), "e"));
+    fixture.pool.OnLatency("e", milliseconds(5));
+  fixture.pool.OnBusy(now + milliseconds(1), "e");
+  CHECK(fixture.pool.HasCapacity(now + milliseconds(21), "e"));
 }
 
 // Guards against a connection that carries another customer's statements.
 TEST_CASE("A connection serves its own customer only",
           "[statements][guarantee]") {
-  Pool pool;
-  const ConnectionId id = pool.OpenIdle(kStart, "a", 1);
-  CHECK(pool.pool.Take(kStart, "e", "b", 1) == nullptr);
-  CHECK(pool.pool.Take(kStart, "f", "a", 1) == nullptr);
+  PoolFixture fixture;
+  const ConnectionId id = fixture.OpenIdle(kStart, "a", 1);
+  CHECK(fixture.pool.TakeIdle(kStart, "e", "b", 1) == nullptr);
+  CHECK(fixture.pool.TakeIdle(kStart, "f", "a", 1) == nullptr);
 
-  SECTION("At the limit an idle one makes way") {
-    CHECK(pool.OpenIdle(kStart, "b", 1) != 0);
-    CHECK(pool.closed == std::vector<ConnectionId>{id});
+  SECTION("At the limit an idle connection is closed") {
+    CHECK(fixture.OpenIdle(kStart, "b", 1) != 0);
+    CHECK(fixture.closed == std::vector<ConnectionId>{id});
   }
-  SECTION("One in use does not") {
-    CHECK(pool.pool.Take(kStart, "e", "a", 1) != nullptr);
-    CHECK(pool.OpenIdle(kStart, "b", 1) == 0);
+  SECTION("A busy connection is not closed") {
+    CHECK(fixture.pool.TakeIdle(kStart, "e", "a", 1) != nullptr);
+    CHECK(fixture.OpenIdle(kStart, "b", 1) == 0);
   }
 }
 
-TEST_CASE("Idle connections are given up", "[statements]") {
-  Pool pool;
-  pool.OpenIdle(kStart, "a");
+TEST_CASE("Idle connections are closed after the idle timeout",
+          "[statements]") {
+  PoolFixture fixture;
+  fixture.OpenIdle(kStart, "a");
   const auto wanted = [](const std::string&) { return false; };
-  pool.pool.CloseIdle(kStart + milliseconds(199), wanted);
-  CHECK(pool.pool.Size() == 1);
-  pool.pool.CloseIdle(kStart + milliseconds(200), wanted);
-  CHECK(pool.pool.Size() == 0);
+  fixture.pool.CloseIdle(kStart + milliseconds(199), wanted);
+  CHECK(fixture.pool.Size() == 1);
+  fixture.pool.CloseIdle(kStart + milliseconds(200), wanted);
+  CHECK(fixture.pool.Size() == 0);
 }
 
-// Guards against a fresh commit of one session that keeps all reads from a
-// replica.
-TEST_CASE("A replica is behind only for what it refused", "[statements]") {
-  Pool pool;
-  pool.pool.OnBehind(kStart, "e", {1, 10});
-  CHECK(pool.pool.IsBehind(kStart, "e", {1, 10}));
-  CHECK(pool.pool.IsBehind(kStart, "e", {1, 11}));
-  CHECK_FALSE(pool.pool.IsBehind(kStart, "e", {1, 9}));
-  pool.pool.OnPosition("e", {1, 10});
-  CHECK_FALSE(pool.pool.IsBehind(kStart, "e", {1, 10}));
-  CHECK_FALSE(pool.pool.IsBehind(kStart + milliseconds(200), "e", {1, 11}));
+// Guards against a recent commit of one session that excludes a replica from
+// the reads of all sessions.
+TEST_CASE("A replica counts as behind only from the position it refused",
+          "[statements]") {
+  PoolFixture fixture;
+  fixture.pool.OnBehind(kStart, "e", {1, 10});
+  CHECK(fixture.pool.IsBehind(kStart, "e", {1, 10}));
+  CHECK(fixture.pool.IsBehind(kStart, "e", {1, 11}));
+  CHECK_FALSE(fixture.pool.IsBehind(kStart, "e", {1, 9}));
+  fixture.pool.OnPosition("e", {1, 10});
+  CHECK_FALSE(fixture.pool.IsBehind(kStart, "e", {1, 10}));
+  CHECK_FALSE(fixture.pool.IsBehind(kStart + milliseconds(200), "e", {1, 11}));
 }
 
 }  // namespace goldcrest::statements
--- a/statements/tests/proxy_fixture.cc
+++ b/statements/tests/proxy_fixture.cc
@@ -14,7 +14,7 @@
   };
   hooks.close_session = [this](SessionId id) { closed_sessions.push_back(id); };
   hooks.open = [this](ConnectionId id, const ConnectionTarget& target) {
-    opening.emplace_back(id, target);
+    opening_connections.emplace_back(id, target);
     endpoint_of[id] = target.endpoint;
   };
   hooks.send = [this](ConnectionId id,
@@ -26,7 +26,7 @@
   hooks.completed = [](const routing::Route&, Outcome, Duration) {};
   ProxyOptions options;
   options.zone = "z1";
-  options.entries = 2;
+  options.entry_count = 2;
   proxy = std::make_unique<StatementProxy>(options, hooks);
 
   const auto add = [this](const std::string& database,
@@ -80,9 +80,9 @@
   proxy->OnSessionStart(now, id, database, key);
 }
 
-void ProxyFixture::Say(SessionId id,
-                       StatementKind kind,
-                       const std::string& text) {
+void ProxyFixture::SendStatement(SessionId id,
+                                 StatementKind kind,
+                                 const std::string& text) {
   Statement statement;
   statement.kind = kind;
   statement.id = "id" + std::to_string(++statements_);
@@ -97,10 +97,10 @@
   proxy->OnStatement(now, id, statement);
 }
 
-ConnectionId ProxyFixture::AcceptOpening() {
-  REQUIRE_FALSE(opening.empty());
-  const ConnectionId id = opening.back().first;
-  opening.pop_back();
+ConnectionId ProxyFixture::AcceptConnection() {
+  REQUIRE_FALSE(opening_connections.empty());
+  const ConnectionId id = opening_connections.back().first;
+  opening_connections.pop_back();
   proxy->OnOpened(now, id);
   return id;
 }
@@ -123,14 +123,14 @@
 void ProxyFixture::ConfirmPosition(LogPosition position) {
   constexpr SessionId writer = 1000;
   OpenSession(writer, "strict");
-  Say(writer, StatementKind::kWrite, "WRITE a b");
-  const ConnectionId id = AcceptOpening();
+  SendStatement(writer, StatementKind::kWrite, "WRITE a b");
+  const ConnectionId id = AcceptConnection();
   Reply(id, position);
   proxy->OnSessionClosed(now, writer);
   Advance(milliseconds(200));  // The idle connection is closed.
 }
 
-const Answer& ProxyFixture::Last(SessionId id) const {
+const Answer& ProxyFixture::LastAnswer(SessionId id) const {
   REQUIRE(answers.count(id) == 1);
   return answers.at(id).back();
 }
@@ -140,7 +140,8 @@
   return it == answers.end() ? 0 : it->second.size();
 }
 
-const std::vector<EndpointCommand>& ProxyFixture::Sent(ConnectionId id) const {
+const std::vector<EndpointCommand>& ProxyFixture::SentCommands(
+    ConnectionId id) const {
   REQUIRE(sent.count(id) == 1);
   return sent.at(id);
 }
--- a/statements/tests/proxy_fixture.h
+++ b/statements/tests/proxy_fixture.h
@@ -10,8 +10,8 @@
 
 namespace goldcrest::statements {
 
-//! A proxy with one group `g` of primary `p` and replicas `r1` and `r2`, whose
-//! endpoints are played by the test.
+//! A proxy with one group `g` of primary `p` and replicas `r1` and `r2`. The
+//! test provides the answers of the endpoints.
 class ProxyFixture {
  public:
   ProxyFixture();
@@ -19,15 +19,15 @@
   void OpenSession(SessionId id,
                    const std::string& database,
                    const std::string& key = "key");
-  void Say(SessionId id, StatementKind kind, const std::string& text);
+  void SendStatement(SessionId id, StatementKind kind, const std::string& text);
   //! Accepts the newest connection that is being opened.
-  ConnectionId AcceptOpening();
-  //! Answers on a connection, at `position`.
+  ConnectionId AcceptConnection();
+  //! Answers the oldest outstanding command of a connection, at `position`.
   void Reply(ConnectionId id,
              LogPosition position,
              Outcome outcome = Outcome::kDone);
   void Advance(Duration duration);
-  //! Makes a confirmed position of the primary known, by a write.
+  //! Runs a write that the primary confirms at `position`.
   void ConfirmPosition(LogPosition position);
   void SetRole(const std::string& endpoint,
                bool primary,
@@ -35,13 +35,13 @@
   void ApplyTable(std::int64_t version);
 
   //! The last answer to a session; fails the test when there is none.
-  const Answer& Last(SessionId id) const;
+  const Answer& LastAnswer(SessionId id) const;
   std::size_t AnswerCount(SessionId id) const;
-  const std::vector<EndpointCommand>& Sent(ConnectionId id) const;
+  const std::vector<EndpointCommand>& SentCommands(ConnectionId id) const;
 
   Time now = TimeFromMicros(100'000'000);
   routing::RoutingTable table;
-  std::vector<std::pair<ConnectionId, ConnectionTarget>> opening;
+  std::vector<std::pair<ConnectionId, ConnectionTarget>> opening_connections;
   std::map<ConnectionId, std::string> endpoint_of;
   std::map<ConnectionId, std::vector<EndpointCommand>> sent;
   std::vector<ConnectionId> closed;
