--- a/programs/goldcrestd/entry_service_peers.cc
+++ b/programs/goldcrestd/entry_service_peers.cc
@@ -49,7 +49,7 @@
       UpdatePeers();
   }
   if (update.__isset.document) {
-    document_source_.OnDocument();
+    document_source_.OnDocumentReceived();
     auto decoded = platform::DecodeRoutingDocument(update.document);
     if (decoded.table)
       proxy_.OnRoutingTable(now, decoded.table);
@@ -93,7 +93,7 @@
       linked.push_back({name, view.version});
   }
   const std::string source =
-      document_source_.Next(now, proxy_.Version(), linked);
+      document_source_.NextController(now, proxy_.Version(), linked);
   if (!source.empty())
     Report(now, source, true);
 }
--- a/routing/include/goldcrest/routing/document_source.h
+++ b/routing/include/goldcrest/routing/document_source.h
@@ -25,12 +25,12 @@
 
   //! The controller to ask now; empty when `linked` has nothing newer than
   //! `have`, or one that was asked may still answer.
-  std::string Next(Time now,
-                   std::int64_t have,
-                   const std::vector<Candidate>& linked);
+  std::string NextController(Time now,
+                             std::int64_t have,
+                             const std::vector<Candidate>& linked);
 
   //! A document has come.
-  void OnDocument();
+  void OnDocumentReceived();
 
  private:
   std::int64_t salt_;
--- a/routing/src/document_source.cc
+++ b/routing/src/document_source.cc
@@ -14,16 +14,17 @@
 
 }  // namespace
 
-std::string DocumentSource::Next(Time now,
-                                 std::int64_t have,
-                                 const std::vector<Candidate>& linked) {
+std::string DocumentSource::NextController(
+    Time now,
+    std::int64_t have,
+    const std::vector<Candidate>& linked) {
   if (!asked_.empty() && now < wait_until_)
     return "";
   std::int64_t newest = have;
   for (const Candidate& candidate : linked)
     newest = std::max(newest, candidate.version);
   if (newest == have) {
-    OnDocument();
+    OnDocumentReceived();
     return "";
   }
   std::string best;
@@ -46,7 +47,7 @@
   return best;
 }
 
-void DocumentSource::OnDocument() {
+void DocumentSource::OnDocumentReceived() {
   asked_.clear();
 }
 
--- a/routing/tests/document_source_test.cc
+++ b/routing/tests/document_source_test.cc
@@ -22,7 +22,7 @@
           "[routing]") {
   std::map<std::string, int> asked;
   for (int salt = 0; salt < 90; ++salt)
-    ++asked[DocumentSource(salt).Next(kStart, 5, kLinked)];
+    ++asked[DocumentSource(salt).NextController(kStart, 5, kLinked)];
   REQUIRE(asked.size() == 3);
   for (const auto& [controller, count] : asked)
     CHECK(count >= 15);
@@ -32,21 +32,25 @@
 TEST_CASE("Another controller is asked only after a large document's time",
           "[routing]") {
   DocumentSource source(1);
-  const std::string first = source.Next(kStart, 5, kLinked);
-  CHECK(source.Next(kStart + milliseconds(900), 5, kLinked).empty());
+  const std::string first = source.NextController(kStart, 5, kLinked);
+  CHECK(source.NextController(kStart + milliseconds(900), 5, kLinked).empty());
   const std::string second =
-      source.Next(kStart + milliseconds(1'000), 5, kLinked);
+      source.NextController(kStart + milliseconds(1'000), 5, kLinked);
   CHECK(second != first);
-  CHECK(source.Next(kStart + milliseconds(2'900), 5, kLinked).empty());
-  CHECK_FALSE(source.Next(kStart + milliseconds(3'000), 5, kLinked).empty());
+  CHECK(
+      source.NextController(kStart + milliseconds(2'900), 5, kLinked).empty());
+  CHECK_FALSE(
+      source.NextController(kStart + milliseconds(3'000), 5, kLinked).empty());
 
   SECTION("A document that came ends the wait") {
-    source.OnDocument();
+    source.OnDocumentReceived();
     CHECK_FALSE(
-        source.Next(kStart + milliseconds(3'010), 7, {{"a", 9}}).empty());
+        source.NextController(kStart + milliseconds(3'010), 7, {{"a", 9}})
+            .empty());
   }
   SECTION("Nothing is asked without a newer one") {
-    CHECK(source.Next(kStart + milliseconds(9'000), 7, kLinked).empty());
+    CHECK(source.NextController(kStart + milliseconds(9'000), 7, kLinked)
+              .empty());
   }
 }
 
@@ -54,9 +58,9 @@
 // the document.
 TEST_CASE("The only controller with a document is asked again", "[routing]") {
   DocumentSource source(1);
-  CHECK(source.Next(kStart, 5, {{"a", 6}, {"b", 5}}) == "a");
-  CHECK(source.Next(kStart + milliseconds(1'000), 5, {{"a", 6}, {"b", 5}}) ==
-        "a");
+  CHECK(source.NextController(kStart, 5, {{"a", 6}, {"b", 5}}) == "a");
+  CHECK(source.NextController(kStart + milliseconds(1'000), 5,
+                              {{"a", 6}, {"b", 5}}) == "a");
 }
 
 }  // namespace goldcrest::routing
