--- a/fleet/src/controller_peers.cc
+++ b/fleet/src/controller_peers.cc
@@ -17,7 +17,7 @@
 
 void Controller::OnBeat(Time now, const messages::EndpointRecord& record) {
   const auto merge = directory_.Apply(now, record);
-  if (merge == routing::EndpointDirectory::Merge::kStale)
+  if (merge == routing::EndpointDirectory::MergeResult::kStale)
     return;
   messages::PeerMessage message;
   messages::ControllerNotice notice = MakeNotice();
@@ -25,7 +25,7 @@
   message.__set_controller_notice(notice);
   for (const auto& [name, peer] : peers_)
     hooks_.send(name, message);
-  if (merge != routing::EndpointDirectory::Merge::kChanged)
+  if (merge != routing::EndpointDirectory::MergeResult::kChanged)
     return;
   hooks_.decided("endpoint_changed", record.group + " " + record.endpoint,
                  routing::DescribeState(record));
@@ -73,7 +73,7 @@
 
 void Controller::Merge(Time now, const messages::EndpointRecord& record) {
   if (directory_.Apply(now, record) ==
-      routing::EndpointDirectory::Merge::kChanged)
+      routing::EndpointDirectory::MergeResult::kChanged)
     OnEndpointChanged(now, record);
 }
 
--- a/routing/include/goldcrest/routing/endpoint_directory.h
+++ b/routing/include/goldcrest/routing/endpoint_directory.h
@@ -25,13 +25,13 @@
   };
 
   //! What a merged record told.
-  enum class Merge {
+  enum class MergeResult {
     kStale,      //!< Nothing: it is older than what is known.
     kRefreshed,  //!< The endpoint lives; nothing else changed.
     kChanged,
   };
 
-  Merge Apply(Time now, const messages::EndpointRecord& record);
+  MergeResult Apply(Time now, const messages::EndpointRecord& record);
 
   //! Marks endpoints that were last heard before `oldest` as gone and returns
   //! their records.
--- a/routing/src/endpoint_directory.cc
+++ b/routing/src/endpoint_directory.cc
@@ -28,23 +28,23 @@
   return state;
 }
 
-EndpointDirectory::Merge EndpointDirectory::Apply(
+EndpointDirectory::MergeResult EndpointDirectory::Apply(
     Time now,
     const messages::EndpointRecord& record) {
   const auto [it, inserted] =
       entries_.try_emplace(record.endpoint, Entry{record, now, now});
   if (inserted)
-    return Merge::kChanged;
+    return MergeResult::kChanged;
   Entry& entry = it->second;
   if (Freshness(record) <= Freshness(entry.record))
-    return Merge::kStale;
+    return MergeResult::kStale;
   const bool same = SameState(entry.record, record);
   entry.record = record;
   entry.heard_at = now;
   if (same)
-    return Merge::kRefreshed;
+    return MergeResult::kRefreshed;
   entry.changed_at = now;
-  return Merge::kChanged;
+  return MergeResult::kChanged;
 }
 
 std::vector<messages::EndpointRecord> EndpointDirectory::Expire(Time oldest) {
--- a/routing/tests/endpoint_directory_test.cc
+++ b/routing/tests/endpoint_directory_test.cc
@@ -6,7 +6,7 @@
 namespace goldcrest::routing {
 namespace {
 
-using Merge = EndpointDirectory::Merge;
+using MergeResult = EndpointDirectory::MergeResult;
 
 messages::EndpointRecord Record(std::int64_t started, std::int64_t sequence) {
   messages::EndpointRecord record;
@@ -29,25 +29,25 @@
   EndpointDirectory directory;
   auto primary = Record(100, 5);
   primary.primary = true;
-  CHECK(directory.Apply(kStart, primary) == Merge::kChanged);
-  CHECK(directory.Apply(kStart, Record(100, 4)) == Merge::kStale);
+  CHECK(directory.Apply(kStart, primary) == MergeResult::kChanged);
+  CHECK(directory.Apply(kStart, Record(100, 4)) == MergeResult::kStale);
   CHECK(directory.Find("e1")->record.primary);
 
   SECTION("A restart under the same name begins a new sequence") {
-    CHECK(directory.Apply(kStart, Record(200, 1)) == Merge::kChanged);
+    CHECK(directory.Apply(kStart, Record(200, 1)) == MergeResult::kChanged);
     CHECK_FALSE(directory.Find("e1")->record.primary);
-    CHECK(directory.Apply(kStart, Record(100, 9)) == Merge::kStale);
+    CHECK(directory.Apply(kStart, Record(100, 9)) == MergeResult::kStale);
   }
   SECTION("A record that only shows life changes nothing") {
     auto again = primary;
     again.sequence = 6;
-    CHECK(directory.Apply(kStart, again) == Merge::kRefreshed);
+    CHECK(directory.Apply(kStart, again) == MergeResult::kRefreshed);
   }
   SECTION("An endpoint that left does not come back by an old heartbeat") {
     auto gone = Record(100, 6);
     gone.gone = true;
-    CHECK(directory.Apply(kStart, gone) == Merge::kChanged);
-    CHECK(directory.Apply(kStart, Record(100, 6)) == Merge::kStale);
+    CHECK(directory.Apply(kStart, gone) == MergeResult::kChanged);
+    CHECK(directory.Apply(kStart, Record(100, 6)) == MergeResult::kStale);
     CHECK(directory.MembersOf("g").empty());
   }
 }
@@ -59,7 +59,7 @@
   CHECK(directory.Expire(kStart).empty());
   CHECK(directory.Expire(kStart + Duration(1)).size() == 1);
   CHECK(directory.MembersOf("g").empty());
-  CHECK(directory.Apply(kStart, Record(100, 2)) == Merge::kChanged);
+  CHECK(directory.Apply(kStart, Record(100, 2)) == MergeResult::kChanged);
   CHECK(directory.MembersOf("g").size() == 1);
 }
 
--- a/statements/src/proxy_updates.cc
+++ b/statements/src/proxy_updates.cc
@@ -58,7 +58,7 @@
 void StatementProxy::OnEndpoint(Time now,
                                 const messages::EndpointRecord& record) {
   if (directory_.Apply(now, record) !=
-      routing::EndpointDirectory::Merge::kChanged)
+      routing::EndpointDirectory::MergeResult::kChanged)
     return;
   hooks_.decided({"endpoint_changed",
                   "",
