--- a/routing/include/goldcrest/routing/routing_table.h
+++ b/routing/include/goldcrest/routing/routing_table.h
@@ -29,7 +29,7 @@
   Duration target_latency{};  //!< Of a whole operation.
   Duration max_staleness{};   //!< 0 for kPrimary.
   int priority = 0;           //!< 0 is the highest.
-  bool open = false;          //!< No key needed.
+  bool is_public = false;     //!< No key needed.
 };
 
 //! One group of replicated databases.
@@ -53,7 +53,8 @@
   std::map<std::string, Group> groups;  //!< By name.
   std::vector<Customer> customers;
   std::map<std::string, std::size_t> keys;  //!< Key: index in `customers`.
-  Duration transaction_idle{};  //!< 0: an idle transaction is never ended.
+  Duration
+      transaction_idle_timeout{};  //!< 0: an idle transaction is never ended.
 
   const Route* FindRoute(const std::string& database) const;
   const Customer* FindCustomer(const std::string& key) const;
--- a/statements/src/proxy_admission.cc
+++ b/statements/src/proxy_admission.cc
@@ -22,7 +22,7 @@
     return false;
   }
   const routing::Customer* customer = table_->FindCustomer(session.key);
-  if (customer == nullptr && !session.route->open) {
+  if (customer == nullptr && !session.route->is_public) {
     Refuse(now, session, Outcome::kUnknownKey, "unknown key");
     return false;
   }
--- a/statements/src/proxy_sessions.cc
+++ b/statements/src/proxy_sessions.cc
@@ -68,7 +68,7 @@
   const routing::Route* route = table_->FindRoute(database);
   if (route == nullptr)
     return refuse(Outcome::kUnknownDatabase, "no such database");
-  if (!route->open && table_->FindCustomer(key) == nullptr)
+  if (!route->is_public && table_->FindCustomer(key) == nullptr)
     return refuse(Outcome::kUnknownKey, "unknown key");
   hooks_.answer(id, Answer::Completed());
 }
@@ -315,8 +315,8 @@
   session.pending.reset();
   answer.state = session.state;
   if (session.state == TransactionState::kOpen &&
-      table_->transaction_idle > Duration::zero())
-    session.transaction_idle_deadline = now + table_->transaction_idle;
+      table_->transaction_idle_timeout > Duration::zero())
+    session.transaction_idle_deadline = now + table_->transaction_idle_timeout;
   session.answered_at = now;
   hooks_.answer(session.id, answer);
 }
--- a/statements/tests/proxy_fixture.cc
+++ b/statements/tests/proxy_fixture.cc
@@ -47,7 +47,7 @@
   table.groups["g"] = {"g", 20, 0};
   table.customers.push_back({"customer", {"key"}, 1000, 1000});
   table.keys["key"] = 0;
-  table.transaction_idle = milliseconds(3000);
+  table.transaction_idle_timeout = milliseconds(3000);
   ApplyTable(1);
   proxy->holder().SetLimit("customer", std::nullopt);
   SetRole("p", true);
