--- a/routing/include/goldcrest/routing/document_source.h
+++ b/routing/include/goldcrest/routing/document_source.h
@@ -9,34 +9,35 @@
 
 namespace goldcrest::routing {
 
-//! Which controller an entry asks for the configuration. Entries spread over
-//! the controllers, and ask another one only after a time in which a large
-//! document can cross a slow link: each document that is sent twice makes the
-//! links slower still.
+//! Chooses the controller that an entry asks for the configuration document.
+//! Entries spread over the controllers. An entry asks another controller only
+//! after a time in which a large document can cross a slow link, because each
+//! document that is sent twice slows the links further.
 class DocumentSource {
  public:
   struct Candidate {
     std::string controller;
-    std::int64_t version = 0;  //!< That it has in force.
+    std::int64_t version = 0;  //!< In force at the controller.
   };
 
   //! Entries with different `salt` prefer different controllers.
   explicit DocumentSource(std::int64_t salt) : salt_(salt) {}
 
-  //! The controller to ask now; empty when `linked` has nothing newer than
-  //! `have`, or one that was asked may still answer.
+  //! The controller to ask now. Empty when no controller in `connected` has a
+  //! newer version than `known_version`, or when the last one that was asked
+  //! may still answer.
   std::string NextController(Time now,
-                             std::int64_t have,
-                             const std::vector<Candidate>& linked);
+                             std::int64_t known_version,
+                             const std::vector<Candidate>& connected);
 
-  //! A document has come.
+  //! A document has arrived.
   void OnDocumentReceived();
 
  private:
   std::int64_t salt_;
-  std::string asked_;  // empty: none is awaited
-  Time wait_until_;
-  Duration wait_{};
+  std::string requested_controller_;  // empty: no request is outstanding
+  Time retry_at_;
+  Duration retry_delay_{};
 };
 
 }  // namespace goldcrest::routing
--- a/routing/include/goldcrest/routing/endpoint_directory.h
+++ b/routing/include/goldcrest/routing/endpoint_directory.h
@@ -10,38 +10,38 @@
 
 namespace goldcrest::routing {
 
-//! What a record tells of its endpoint, for logs: "primary draining".
+//! The endpoint's state in a record, for logs, such as "primary draining".
 std::string DescribeState(const messages::EndpointRecord& record);
 
-//! What endpoints have said of themselves, merged from any number of sources in
-//! any order: of two records of an endpoint the one with the later start, then
-//! the higher sequence, holds.
+//! The latest record of each endpoint, merged from any number of sources in any
+//! order. Of two records of an endpoint, the one with the later start takes
+//! precedence, then the one with the higher sequence.
 class EndpointDirectory {
  public:
   struct Entry {
     messages::EndpointRecord record;
-    Time heard_at;    //!< When the record in force arrived here.
-    Time changed_at;  //!< When anything but its sequence last changed.
+    Time received_at;  //!< When `record` arrived.
+    Time changed_at;   //!< When a field other than the sequence changed.
   };
 
-  //! What a merged record told.
+  //! The effect of a merged record.
   enum class MergeResult {
-    kStale,      //!< Nothing: it is older than what is known.
-    kRefreshed,  //!< The endpoint lives; nothing else changed.
+    kStale,      //!< None: the record is not newer than the known one.
+    kRefreshed,  //!< The endpoint is alive; its state has not changed.
     kChanged,
   };
 
   MergeResult Apply(Time now, const messages::EndpointRecord& record);
 
-  //! Marks endpoints that were last heard before `oldest` as gone and returns
-  //! their records.
+  //! Marks endpoints whose latest record arrived before `oldest` as gone and
+  //! returns their records.
   std::vector<messages::EndpointRecord> Expire(Time oldest);
 
-  //! nullptr when the endpoint is unknown. Gone endpoints are kept, so that a
-  //! late record of theirs is recognised.
+  //! nullptr when the endpoint is unknown. Gone endpoints are kept, so that
+  //! their late records are recognised as stale.
   const Entry* Find(const std::string& endpoint) const;
 
-  //! Endpoints of a group that are not gone, in order of name.
+  //! Endpoints of a group that are not gone, ordered by name.
   std::vector<const Entry*> MembersOf(const std::string& group) const;
 
   //! All records, gone ones included.
--- a/routing/include/goldcrest/routing/routing_table.h
+++ b/routing/include/goldcrest/routing/routing_table.h
@@ -12,24 +12,24 @@
 
 namespace goldcrest::routing {
 
-//! What a read through a route must have seen.
+//! The commits that a read through a route must see.
 enum class Consistency {
   kPrimary,           //!< Every acknowledged commit.
-  kBoundedStaleness,  //!< Commits older than the route's bound.
-  kReadYourWrites,    //!< The same, and all commits of the session.
+  kBoundedStaleness,  //!< Commits older than the route's `max_staleness`.
+  kReadYourWrites,    //!< Those of kBoundedStaleness and the session's own.
 };
 
 //! One database name that callers may connect to.
 struct Route {
   std::string name;
-  std::string database;  //!< What a caller asks for.
+  std::string database;  //!< The name that callers connect to.
   std::string group;     //!< The replicated databases that serve it.
   Consistency consistency = Consistency::kPrimary;
   Duration statement_timeout{};
   Duration target_latency{};  //!< Of a whole operation.
   Duration max_staleness{};   //!< 0 for kPrimary.
   int priority = 0;           //!< 0 is the highest.
-  bool is_public = false;     //!< No key needed.
+  bool is_public = false;     //!< Callers need no key.
 };
 
 //! One group of replicated databases.
@@ -46,15 +46,15 @@
   std::int64_t burst = 0;            //!< Operations.
 };
 
-//! One version of the configuration that entries obey.
+//! One version of the entries' configuration.
 struct RoutingTable {
   std::int64_t version = 0;
   std::map<std::string, Route> routes;  //!< By database name.
   std::map<std::string, Group> groups;  //!< By name.
   std::vector<Customer> customers;
   std::map<std::string, std::size_t> keys;  //!< Key: index in `customers`.
-  Duration
-      transaction_idle_timeout{};  //!< 0: an idle transaction is never ended.
+  //! 0: idle transactions are never rolled back.
+  Duration transaction_idle_timeout{};
 
   const Route* FindRoute(const std::string& database) const;
   const Customer* FindCustomer(const std::string& key) const;
--- a/routing/src/endpoint_directory.cc
+++ b/routing/src/endpoint_directory.cc
@@ -5,12 +5,12 @@
 namespace goldcrest::routing {
 namespace {
 
-auto Freshness(const messages::EndpointRecord& record) {
+auto FreshnessKey(const messages::EndpointRecord& record) {
   return std::tuple(record.started_ms, record.sequence, record.gone);
 }
 
-bool SameState(const messages::EndpointRecord& left,
-               const messages::EndpointRecord& right) {
+bool HasSameState(const messages::EndpointRecord& left,
+                  const messages::EndpointRecord& right) {
   return left.group == right.group && left.address == right.address &&
          left.zone == right.zone && left.draining == right.draining &&
          left.primary == right.primary && left.gone == right.gone &&
@@ -36,11 +36,11 @@
   if (inserted)
     return MergeResult::kChanged;
   Entry& entry = it->second;
-  if (Freshness(record) <= Freshness(entry.record))
+  if (FreshnessKey(record) <= FreshnessKey(entry.record))
     return MergeResult::kStale;
-  const bool same = SameState(entry.record, record);
+  const bool same = HasSameState(entry.record, record);
   entry.record = record;
-  entry.heard_at = now;
+  entry.received_at = now;
   if (same)
     return MergeResult::kRefreshed;
   entry.changed_at = now;
@@ -50,7 +50,7 @@
 std::vector<messages::EndpointRecord> EndpointDirectory::Expire(Time oldest) {
   std::vector<messages::EndpointRecord> expired;
   for (auto& [name, entry] : entries_) {
-    if (entry.record.gone || entry.heard_at >= oldest)
+    if (entry.record.gone || entry.received_at >= oldest)
       continue;
     entry.record.gone = true;
     expired.push_back(entry.record);
--- a/routing/tests/document_source_test.cc
+++ b/routing/tests/document_source_test.cc
@@ -10,46 +10,48 @@
 using std::chrono::milliseconds;
 
 constexpr Time kStart = TimeFromMicros(10'000'000);
-const std::vector<DocumentSource::Candidate> kLinked = {{"a", 7},
-                                                        {"b", 7},
-                                                        {"c", 7},
-                                                        {"d", 5}};
+const std::vector<DocumentSource::Candidate> kConnected = {{"a", 7},
+                                                           {"b", 7},
+                                                           {"c", 7},
+                                                           {"d", 5}};
 
 }  // namespace
 
-// Guards against one controller that sends a large document to all entries.
+// Guards against all entries requesting a large document from one controller.
 TEST_CASE("Entries spread over the controllers that have the newest document",
           "[routing]") {
   std::map<std::string, int> asked;
   for (int salt = 0; salt < 90; ++salt)
-    ++asked[DocumentSource(salt).NextController(kStart, 5, kLinked)];
+    ++asked[DocumentSource(salt).NextController(kStart, 5, kConnected)];
   REQUIRE(asked.size() == 3);
   for (const auto& [controller, count] : asked)
     CHECK(count >= 15);
 }
 
-// Guards against documents that are sent again while they cross a slow link.
-TEST_CASE("Another controller is asked only after a large document's time",
+// Guards against a second request for a document that is still crossing a slow
+// link.
+TEST_CASE("Another controller is asked only after a large document can arrive",
           "[routing]") {
   DocumentSource source(1);
-  const std::string first = source.NextController(kStart, 5, kLinked);
-  CHECK(source.NextController(kStart + milliseconds(900), 5, kLinked).empty());
+  const std::string first = source.NextController(kStart, 5, kConnected);
+  CHECK(
+      source.NextController(kStart + milliseconds(900), 5, kConnected).empty());
   const std::string second =
-      source.NextController(kStart + milliseconds(1'000), 5, kLinked);
+      source.NextController(kStart + milliseconds(1'000), 5, kConnected);
   CHECK(second != first);
-  CHECK(
-      source.NextController(kStart + milliseconds(2'900), 5, kLinked).empty());
-  CHECK_FALSE(
-      source.NextController(kStart + milliseconds(3'000), 5, kLinked).empty());
+  CHECK(source.NextController(kStart + milliseconds(2'900), 5, kConnected)
+            .empty());
+  CHECK_FALSE(source.NextController(kStart + milliseconds(3'000), 5, kConnected)
+                  .empty());
 
-  SECTION("A document that came ends the wait") {
+  SECTION("An arrived document ends the delay") {
     source.OnDocumentReceived();
     CHECK_FALSE(
         source.NextController(kStart + milliseconds(3'010), 7, {{"a", 9}})
             .empty());
   }
-  SECTION("Nothing is asked without a newer one") {
-    CHECK(source.NextController(kStart + milliseconds(9'000), 7, kLinked)
+  SECTION("No controller is asked without a newer version") {
+    CHECK(source.NextController(kStart + milliseconds(9'000), 7, kConnected)
               .empty());
   }
 }
--- a/routing/tests/endpoint_directory_test.cc
+++ b/routing/tests/endpoint_directory_test.cc
@@ -23,9 +23,9 @@
 
 }  // namespace
 
-// Guards against a heartbeat that was delayed by a partition and takes effect
-// over a newer one.
-TEST_CASE("A late record does not replace a newer one", "[routing]") {
+// Guards against a heartbeat that was delayed by a network partition and
+// replaces a newer one.
+TEST_CASE("An older record does not replace a newer one", "[routing]") {
   EndpointDirectory directory;
   auto primary = Record(100, 5);
   primary.primary = true;
@@ -38,12 +38,12 @@
     CHECK_FALSE(directory.Find("e1")->record.primary);
     CHECK(directory.Apply(kStart, Record(100, 9)) == MergeResult::kStale);
   }
-  SECTION("A record that only shows life changes nothing") {
+  SECTION("A record with only a newer sequence changes nothing") {
     auto again = primary;
     again.sequence = 6;
     CHECK(directory.Apply(kStart, again) == MergeResult::kRefreshed);
   }
-  SECTION("An endpoint that left does not come back by an old heartbeat") {
+  SECTION("An old heartbeat does not restore an endpoint that is gone") {
     auto gone = Record(100, 6);
     gone.gone = true;
     CHECK(directory.Apply(kStart, gone) == MergeResult::kChanged);
@@ -52,8 +52,8 @@
   }
 }
 
-// Guards against endpoints that crashed and are offered for ever.
-TEST_CASE("An endpoint that was not heard for long is gone", "[routing]") {
+// Guards against crashed endpoints that stay in the directory.
+TEST_CASE("An endpoint without recent records expires", "[routing]") {
   EndpointDirectory directory;
   directory.Apply(kStart, Record(100, 1));
   CHECK(directory.Expire(kStart).empty());
