--- a/programs/goldcrestd/controller_service.cc
+++ b/programs/goldcrestd/controller_service.cc
@@ -6,8 +6,8 @@
 
 #include "goldcrest/adapters/json.h"
 #include "goldcrest/adapters/system_clock.h"
-#include "goldcrest/platform/calls.h"
-#include "goldcrest/platform/endpoint_beat.h"
+#include "goldcrest/platform/endpoint_heartbeat.h"
+#include "goldcrest/platform/http_requests.h"
 #include "goldcrest/platform/routing_document.h"
 #include "programs/goldcrestd/platform_peers.h"
 
@@ -161,29 +161,29 @@
 void ControllerService::HandleHttp(
     const adapters::HttpRequest& request,
     const adapters::HttpServer::Respond& respond) {
-  const auto call = platform::DecodeCall(request.method, request.path);
+  const auto call = platform::DecodeHttpRequest(request.method, request.path);
   if (!call)
     return respond(Refusal(404, "no such call"));
-  switch (call->call) {
-    case platform::Call::kBeat:
+  switch (call->kind) {
+    case platform::HttpRequestKind::kHeartbeat:
       return respond(HandleBeat(call->endpoint, request.body));
-    case platform::Call::kDeparture:
+    case platform::HttpRequestKind::kDeregistration:
       controller_->OnDeparture(
           SystemClock::Now(),
-          platform::DecodeDeparture(call->endpoint, request.body));
+          platform::DecodeDeregistration(call->endpoint, request.body));
       return respond(HttpResponse());
-    case platform::Call::kPutConfiguration:
+    case platform::HttpRequestKind::kPutConfiguration:
       return HandlePut(request.body, respond);
-    case platform::Call::kGetConfiguration:
+    case platform::HttpRequestKind::kGetConfiguration:
       return respond(
           ToResponse(controller_->Get(SystemClock::Now()), request.path));
-    case platform::Call::kMetrics: {
+    case platform::HttpRequestKind::kMetrics: {
       HttpResponse response;
       response.content_type = adapters::Counters::kContentType;
       response.body = counters_.Render();
       return respond(response);
     }
-    case platform::Call::kReadiness:
+    case platform::HttpRequestKind::kReadiness:
       return respond(HttpResponse());
   }
 }
@@ -191,7 +191,7 @@
 HttpResponse ControllerService::HandleBeat(const std::string& endpoint,
                                            const std::string& body) {
   std::string problem;
-  const auto record = platform::DecodeBeat(endpoint, body, problem);
+  const auto record = platform::DecodeHeartbeat(endpoint, body, problem);
   if (!record) {
     out_.Event("heartbeat_refused",
                {{"endpoint", endpoint}, {"cause", problem}});
@@ -199,7 +199,7 @@
   }
   controller_->OnBeat(SystemClock::Now(), *record);
   HttpResponse response;
-  response.body = platform::EncodeBeatAnswer("");
+  response.body = platform::EncodeHeartbeatAnswer("");
   return response;
 }
 
@@ -219,8 +219,9 @@
         out_.Event(
             "configuration_answered",
             {{"version", version}, {"result", static_cast<int>(result.kind)}});
-        respond(ToResponse(
-            result, platform::PathOf(platform::Call::kPutConfiguration)));
+        respond(ToResponse(result,
+                           platform::ConfigurationPath(
+                               platform::HttpRequestKind::kPutConfiguration)));
       });
 }
 
--- a/programs/goldcrestd/entry_service.cc
+++ b/programs/goldcrestd/entry_service.cc
@@ -5,7 +5,7 @@
 #include <utility>
 
 #include "goldcrest/adapters/system_clock.h"
-#include "goldcrest/platform/calls.h"
+#include "goldcrest/platform/http_requests.h"
 #include "programs/goldcrestd/platform_peers.h"
 
 namespace goldcrest {
@@ -280,11 +280,11 @@
 
 adapters::HttpResponse EntryService::HandleHttp(
     const adapters::HttpRequest& request) {
-  const auto call = platform::DecodeCall(request.method, request.path);
+  const auto call = platform::DecodeHttpRequest(request.method, request.path);
   adapters::HttpResponse response;
-  if (call && call->call == platform::Call::kReadiness) {
+  if (call && call->kind == platform::HttpRequestKind::kReadiness) {
     response.status = IsReady() ? 200 : 503;
-  } else if (call && call->call == platform::Call::kMetrics) {
+  } else if (call && call->kind == platform::HttpRequestKind::kMetrics) {
     response.content_type = adapters::Counters::kContentType;
     response.body = counters_.Render();
   } else {
