--- a/soak/databases.py
+++ b/soak/databases.py
@@ -143,10 +143,11 @@
             host, port = controllers[turn]
             primary = database.leads()
             status, _, _ = await http_call(
-                host, port, "POST", wire.beat_path(database.name),
-                wire.beat(database.group.name, "%s:%d" % database.address,
-                          database.zone, primary, next(database.sequence),
-                          database.born), timeout=1)
+                host, port, "POST", wire.heartbeat_path(database.name),
+                wire.heartbeat(database.group.name, "%s:%d" % database.address,
+                               database.zone, primary,
+                               next(database.sequence), database.born),
+                timeout=1)
             if status // 100 != 2:
                 break
             for _ in range(10):
@@ -223,7 +224,7 @@
         return True
 
     def position(self):
-        return wire.position(*self.database.log())
+        return wire.encode_position(*self.database.log())
 
     def done(self, signature="-", rows=()):
         self.send(*(f"DATAROW {row}" for row in rows),
@@ -241,7 +242,7 @@
         self.plain_term = self.transaction = 0
 
     async def query(self, statement, text):
-        after, text = wire.split_after(text)
+        after, text = wire.split_after_prefix(text)
         verb, _, rest = text.partition(" ")
         if after and after > self.database.log():
             return self.fail("LAGGING")
@@ -273,7 +274,7 @@
             term, number = self.database.log()
             role = "primary" if self.database.leads() else "replica"
             return self.done(rows=[
-                f"{role} {self.group.term} {wire.position(term, number)}"
+                f"{role} {self.group.term} {wire.encode_position(term, number)}"
                 f" {self.plain_term} 0 0 {len(self.database.writers)}"])
         await self.run(statement, text, verb, rest)
 
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -52,7 +52,8 @@
             return
         name = process.instance.name
         self.record.disturb(name)
-        ended = asyncio.create_task(process.end(number, wire.GRACE_SECONDS + 1))
+        ended = asyncio.create_task(
+            process.end(number, wire.STOP_GRACE_SECONDS + 1))
         while not ended.done():
             await self.hold([name], 0.05)
         if not ended.result() and number == signal.SIGTERM:
--- a/soak/instances.py
+++ b/soak/instances.py
@@ -26,7 +26,7 @@
         if self.child and self.child.poll() is None:
             return
         environment = {"PATH": os.environ["PATH"],
-                       wire.BOOT_VARIABLE: self.instance.settings_path}
+                       wire.BOOT_SETTINGS_VARIABLE: self.instance.settings_path}
         log = open(f"{self.instance.folder}/{self.role}.log", "ab")
         self.child = subprocess.Popen(
             [self.instance.daemon, self.role], env=environment, stdout=log,
--- a/soak/record.py
+++ b/soak/record.py
@@ -96,12 +96,13 @@
     def _spend(self, customer, now):
         spent = self.spent[customer]
         spent.append(now)
-        while spent[0] < now - wire.WINDOW_SECONDS:
+        while spent[0] < now - wire.QUOTA_WINDOW_SECONDS:
             spent.popleft()
-        allowed = wire.window_limit(self.rates[customer])
+        allowed = wire.max_operations_per_window(self.rates[customer])
         if len(spent) > allowed:
             self.violation("rate", f"{customer}: {len(spent)} operations in "
-                                   f"{wire.WINDOW_SECONDS} s of {allowed:.0f}")
+                                   f"{wire.QUOTA_WINDOW_SECONDS} s of "
+                                   f"{allowed:.0f}")
 
     def committed(self, group, commit, writes):
         for write in writes:
--- a/soak/soak.py
+++ b/soak/soak.py
@@ -113,7 +113,7 @@
     async def on_platform_call(self, method, path, headers, body):
         if (method, path) != ("POST", wire.PROMOTION_PATH):
             return 404, ""
-        group, endpoint = wire.promotion(body)
+        group, endpoint = wire.decode_promotion(body)
         fence = int(headers[wire.FENCING_HEADER])
         status = await self.groups[group].promote(endpoint, fence)
         self.record.event(f"order {fence}: {endpoint}, {status}")
--- a/soak/tests/record_test.py
+++ b/soak/tests/record_test.py
@@ -111,7 +111,7 @@
         self.assertEqual(self.rules(), [])
 
     def test_more_operations_than_the_rate_allows(self):
-        for number in range(int(wire.window_limit(1)) + 1):
+        for number in range(int(wire.max_operations_per_window(1)) + 1):
             self.send(f"a{number}")
             self.run_one(f"a{number}")
         self.assertEqual(self.rules(), ["rate"])
