--- a/coordinator/src/group_coordinator_dispatch.cc
+++ b/coordinator/src/group_coordinator_dispatch.cc
@@ -162,8 +162,9 @@
     // the new primary, so the term of its last entry counts.
     const session::MemberView view{name, member.log_term, member.position,
                                    true};
-    if (session::CanServeRead(view, term(), mark, max_age, history_, now) !=
-            session::ReadEligibility::kYes ||
+    if (session::CheckReadEligibility(view, term(), mark, max_age, history_,
+                                      now) !=
+            session::ReadEligibility::kEligible ||
         FreeSlots(limits_.at(name)) == 0) {
       *may_wait = true;
       continue;
--- a/session/include/goldcrest/session/read_eligibility.h
+++ b/session/include/goldcrest/session/read_eligibility.h
@@ -11,7 +11,7 @@
 
 namespace goldcrest::session {
 
-//! What is known of a replica.
+//! State of a replica, as last reported.
 struct MemberView {
   std::string endpoint;
   std::int64_t term = 0;
@@ -20,22 +20,23 @@
 };
 
 enum class ReadEligibility : std::uint8_t {
-  kYes,
-  kBehindMark,  //!< The session's own write is missing.
-  kTooOld,      //!< The data is, or may be, older than the bound.
+  kEligible,
+  kBehindMark,  //!< The replica lacks a write of the session.
+  kTooOld,      //!< The data is, or may be, older than `max_age`.
   kWrongTerm,   //!< The member or the mark is of another term than the group.
   kUnusable,
 };
 
-//! Whether a replica may serve a read of a session with the mark `effective`
-//! (see EffectiveMark). Without `max_age` the read accepts only data as fresh
-//! as the primary's, so no replica may. Not to be asked of the primary.
-ReadEligibility CanServeRead(const MemberView& member,
-                             std::int64_t group_term,
-                             const Mark& effective,
-                             std::optional<Duration> max_age,
-                             const PositionHistory& history,
-                             Time now);
+//! Decides whether a replica may serve a read of a session with the mark
+//! `effective` (see EffectiveMark). Without `max_age` the read needs data as
+//! fresh as the primary's, so no replica is eligible. Must not be called for
+//! the primary.
+ReadEligibility CheckReadEligibility(const MemberView& member,
+                                     std::int64_t group_term,
+                                     const Mark& effective,
+                                     std::optional<Duration> max_age,
+                                     const PositionHistory& history,
+                                     Time now);
 
 }  // namespace goldcrest::session
 
--- a/session/src/read_eligibility.cc
+++ b/session/src/read_eligibility.cc
@@ -2,12 +2,12 @@
 
 namespace goldcrest::session {
 
-ReadEligibility CanServeRead(const MemberView& member,
-                             std::int64_t group_term,
-                             const Mark& effective,
-                             std::optional<Duration> max_age,
-                             const PositionHistory& history,
-                             Time now) {
+ReadEligibility CheckReadEligibility(const MemberView& member,
+                                     std::int64_t group_term,
+                                     const Mark& effective,
+                                     std::optional<Duration> max_age,
+                                     const PositionHistory& history,
+                                     Time now) {
   if (!member.usable)
     return ReadEligibility::kUnusable;
   if (member.term != group_term || IsFromLaterTerm(effective, group_term))
@@ -19,7 +19,7 @@
   const std::optional<Duration> age = history.AgeOf(member.position, now);
   if (!age || *age > *max_age)
     return ReadEligibility::kTooOld;
-  return ReadEligibility::kYes;
+  return ReadEligibility::kEligible;
 }
 
 }  // namespace goldcrest::session
--- a/session/tests/session_rule_test.cc
+++ b/session/tests/session_rule_test.cc
@@ -33,7 +33,7 @@
 
 struct Counts {
   int eligible = 0;
-  int of_earlier_terms = 0;
+  int with_mark_of_earlier_term = 0;
 };
 
 // A group of three databases with asynchronous replication and promotions, and
@@ -44,15 +44,15 @@
 
   explicit GroupModel(Counts& counts) : counts_(counts) {}
 
-  void Run(int action, std::size_t argument) {
-    Member& other = members_[(primary_ + 1 + argument % 2) % 3];
+  void RunAction(int action, std::size_t argument) {
+    Member& replica = members_[(primary_ + 1 + argument % 2) % 3];
     now_ += milliseconds(1);
     switch (action) {
       case 0:
         AppendWrite();
         break;
       case 1:
-        Replicate(other, argument / 2 % 4);
+        Replicate(replica, argument / 2 % 4);
         break;
       case 2:
         Probe(argument % 3);
@@ -61,7 +61,7 @@
         Promote();
         break;
       case 4:
-        Follow(other);
+        Follow(replica);
         break;
       default:
         now_ += milliseconds(argument);
@@ -77,7 +77,7 @@
 
   void AppendWrite() {
     Primary().log.push_back({++last_id_, term_});
-    since_[last_id_] = now_;
+    on_primary_since_[last_id_] = now_;
   }
 
   void Replicate(Member& member, std::size_t count) {
@@ -88,7 +88,7 @@
       member.log.push_back(log[member.log.size()]);
   }
 
-  // Writes may run between the probe's start and the answer.
+  // Writes may run between sending the probe and its answer.
   void Probe(std::size_t writes) {
     const Time sent = now_;
     for (; writes > 0; --writes) {
@@ -98,8 +98,7 @@
     history_.Record(sent, Primary().Position());
   }
 
-  // The primary is lost; of the others, the one with the newest data takes
-  // over.
+  // The primary fails, and the replica with the most recent log is promoted.
   void Promote() {
     const auto rank = [this](std::size_t index) {
       const Member& member = members_[index];
@@ -112,11 +111,11 @@
     primary_ = rank(a) >= rank(b) ? a : b;
     ++term_;
     Primary().term = term_;
-    // An unacknowledged write that an earlier promotion left out can come back;
-    // it counts from now on.
+    // An unacknowledged write that an earlier promotion discarded can reappear.
+    // Its age counts from now on.
     for (const Write& write : Primary().log) {
       if (!Contains(replaced, write))
-        since_[write.id] = now_;
+        on_primary_since_[write.id] = now_;
     }
     messages::TermStart start;
     start.term = term_;
@@ -124,7 +123,7 @@
     starts_.push_back(start);
   }
 
-  // Drops what the new primary does not have.
+  // The member discards the writes that the new primary lacks.
   void Follow(Member& member) {
     if (member.term == term_)
       return;
@@ -135,7 +134,7 @@
     member.log.erase(end, member.log.end());
   }
 
-  // The session's writes that a majority holds in the term of the write.
+  // Acknowledges the session's writes that a majority holds in their term.
   void Acknowledge() {
     for (const Member& member : members_) {
       if (&member == &Primary() || member.term != term_)
@@ -166,17 +165,17 @@
     const MemberView view{"db", member.term, member.Position(), true};
     for (const milliseconds max_age : {milliseconds(3), milliseconds(40)}) {
       const ReadEligibility eligibility =
-          CanServeRead(view, term_, effective, max_age, history_, now_);
+          CheckReadEligibility(view, term_, effective, max_age, history_, now_);
       if (member.term == term_ && member.log == Primary().log)
         RC_ASSERT(eligibility != ReadEligibility::kBehindMark);
-      if (eligibility != ReadEligibility::kYes)
+      if (eligibility != ReadEligibility::kEligible)
         continue;
       ++counts_.eligible;
-      counts_.of_earlier_terms += mark_.term < term_ ? 1 : 0;
+      counts_.with_mark_of_earlier_term += mark_.term < term_ ? 1 : 0;
       for (const Write& write : acknowledged_)
         RC_ASSERT(Contains(member.log, write));
       for (const Write& write : Primary().log) {
-        if (since_[write.id] < now_ - max_age)
+        if (on_primary_since_[write.id] < now_ - max_age)
           RC_ASSERT(Contains(member.log, write));
       }
     }
@@ -193,7 +192,8 @@
   std::size_t primary_ = 0;
   std::array<Member, 3> members_;
   std::vector<messages::TermStart> starts_;
-  std::map<int, Time> since_;  // Since when the primary has had a write.
+  // Time since when the primary has had each write, by id of the write.
+  std::map<int, Time> on_primary_since_;
   PositionHistory history_;
   Mark mark_;
   std::vector<Write> acknowledged_;
@@ -201,13 +201,14 @@
 
 }  // namespace
 
-TEST_CASE("A replica that may serve has the session's writes and fresh data",
+TEST_CASE("An eligible replica has the session's writes and fresh data",
           "[session][guarantee]") {
   Counts counts;
   const auto property = [&counts](const std::vector<std::uint16_t>& steps) {
     GroupModel group(counts);
     for (const std::uint16_t step : steps)
-      group.Run(step % GroupModel::kActions, step / GroupModel::kActions % 32);
+      group.RunAction(step % GroupModel::kActions,
+                      step / GroupModel::kActions % 32);
   };
   rc::detail::TestParams params;
   params.seed = 20260412;
@@ -219,9 +220,9 @@
   rc::detail::printResultMessage(result, report);
   INFO(report.str());
   CHECK(result.is<rc::detail::SuccessResult>());
-  // Without these the property would hold for want of cases.
+  // Guards against a property that holds only because too few cases reach it.
   CHECK(counts.eligible > 1000);
-  CHECK(counts.of_earlier_terms > 100);
+  CHECK(counts.with_mark_of_earlier_term > 100);
 }
 
 }  // namespace goldcrest::session
