--- a/session/include/goldcrest/session/marks.h
+++ b/session/include/goldcrest/session/marks.h
@@ -10,7 +10,8 @@
 
 namespace goldcrest::session {
 
-//! Term and log position of a session's last write in a group.
+//! Term and log position of a session's last write in a group. A read of the
+//! session needs data up to this position.
 struct Mark {
   std::int64_t term = 0;
   std::int64_t position = 0;
@@ -18,7 +19,7 @@
   bool operator==(const Mark&) const = default;
 };
 
-//! What a session token carries.
+//! A session's marks by group, the content of its token.
 struct Marks {
   std::string customer;
   std::map<std::string, Mark> groups;
@@ -26,16 +27,16 @@
   bool operator==(const Marks&) const = default;
 };
 
-//! The mark in terms of `current_term`: its position is limited to the start of
-//! every later term, because nothing acknowledged in the mark's term lies
-//! beyond any of them. A mark of a later term is returned unchanged; see
-//! IsFromLaterTerm.
+//! Translates the mark to `current_term`. Its position is limited to the start
+//! of every term after the mark's, because no write acknowledged in the mark's
+//! term lies beyond any of these starts. A mark of a term after `current_term`
+//! is returned unchanged; see IsFromLaterTerm.
 Mark EffectiveMark(const Mark& mark,
                    std::int64_t current_term,
                    std::span<const messages::TermStart> term_starts);
 
-//! True when the session has seen a later term than this instance knows: the
-//! instance's view is old, and it can't serve the read.
+//! True when the session has seen a later term than this instance knows. The
+//! instance's view is then outdated, and it can't serve the read.
 bool IsFromLaterTerm(const Mark& mark, std::int64_t current_term);
 
 }  // namespace goldcrest::session
--- a/session/include/goldcrest/session/position_history.h
+++ b/session/include/goldcrest/session/position_history.h
@@ -10,22 +10,23 @@
 
 namespace goldcrest::session {
 
-//! Past positions of a group's primary, which date the data of replicas.
-//! Bounded: older observations become sparser, which only raises the ages
-//! given.
+//! Positions of a group's primary over time, from which the age of a replica's
+//! data is computed. Bounds its memory by dropping some of the older
+//! observations, which can only make the computed ages higher.
 class PositionHistory {
  public:
   static constexpr std::size_t kCapacity = 512;
 
-  //! The primary was at `position` at `observed` or later: pass the time at
-  //! which the question was sent, not that of the answer. Observations older
-  //! than the newest one are ignored.
+  //! Records that the primary was at `position` at `observed` or later. Pass
+  //! the time at which the position was requested, not the time of the answer.
+  //! Observations older than the newest one are ignored.
   void Record(Time observed, std::int64_t position);
 
-  //! Upper bound of the age of data at `position`; nullopt when unknown.
+  //! Returns an upper bound of the age of data at `position`; nullopt when no
+  //! observation at or below it is left.
   std::optional<Duration> AgeOf(std::int64_t position, Time now) const;
 
-  //! Forgets everything.
+  //! Removes all observations.
   void Clear();
 
   std::size_t Size() const { return observations_.size(); }
@@ -36,7 +37,7 @@
     std::int64_t position;
   };
 
-  void ThinOut();
+  void RemoveOlderObservations();
 
   // Ascending by time and by position.
   std::vector<Observation> observations_;
--- a/session/include/goldcrest/session/token_sealer.h
+++ b/session/include/goldcrest/session/token_sealer.h
@@ -14,14 +14,15 @@
 
 namespace goldcrest::session {
 
-//! Why marks can't be sealed; the error object of TokenSealer::Seal.
+//! Why marks can't be sealed; the error object of TokenSealer::Seal().
 enum class SealError : std::uint8_t {
   kTooManyGroups,
   kNameTooLong,
   kCryptoFailed,
 };
 
-//! Turns session marks into tokens that callers can neither read nor change.
+//! Encrypts and authenticates session marks into tokens that callers can
+//! neither read nor change (AES-256-GCM).
 class TokenSealer {
  public:
   static constexpr std::size_t kSecretBytes = 32;
@@ -34,21 +35,22 @@
   using Secret = std::array<std::uint8_t, kSecretBytes>;
   using Nonce = std::span<const std::uint8_t, kNonceBytes>;
 
-  //! Seals with `current`; opens with either, so that tokens outlive one
-  //! rotation of the secret.
+  //! Seals with `current` and opens with either secret, so that tokens remain
+  //! valid after one rotation of the secret.
   explicit TokenSealer(const Secret& current,
                        const std::optional<Secret>& previous = std::nullopt);
 
-  //! From 32 bytes (the current secret) or 64 (followed by the previous one).
+  //! Takes 32 bytes (the current secret) or 64 bytes (the current secret, then
+  //! the previous one). Returns nullopt for any other size.
   static std::optional<TokenSealer> FromBytes(std::string_view secrets);
 
-  //! URL-safe text. `nonce` must never repeat under one secret, on any
+  //! Returns URL-safe text. `nonce` must never repeat under one secret, on any
   //! instance: a repeated nonce breaks AES-GCM. On failure the error carries a
   //! SealError; marks are never dropped to make a token fit.
   boost::leaf::result<std::string> Seal(const Marks& marks, Nonce nonce) const;
 
-  //! nullopt unless the token is exactly one that was sealed with a secret of
-  //! this sealer.
+  //! Returns nullopt unless the token is exactly one that was sealed with a
+  //! secret of this sealer.
   std::optional<Marks> Open(std::string_view token) const;
 
  private:
--- a/session/internal/authenticated_cipher.h
+++ b/session/internal/authenticated_cipher.h
@@ -12,14 +12,14 @@
 
 inline constexpr std::size_t kTagBytes = 16;
 
-//! AES-256-GCM. `header` is authenticated, not encrypted. Returns the encrypted
-//! text followed by the tag; nullopt when OpenSSL fails.
+//! Encrypts with AES-256-GCM. `header` is authenticated but not encrypted.
+//! Returns the ciphertext followed by the tag; nullopt when OpenSSL fails.
 std::optional<std::string> Encrypt(const TokenSealer::Secret& secret,
                                    TokenSealer::Nonce nonce,
                                    std::string_view header,
                                    std::string_view plain);
 
-//! The plain text; nullopt unless the tag fits all inputs.
+//! Returns the plaintext; nullopt unless the tag authenticates all inputs.
 std::optional<std::string> Decrypt(const TokenSealer::Secret& secret,
                                    TokenSealer::Nonce nonce,
                                    std::string_view header,
--- a/session/internal/mark_codec.h
+++ b/session/internal/mark_codec.h
@@ -12,8 +12,8 @@
 //! Encodes with the primitives of the Thrift compact protocol.
 std::string EncodeMarks(const Marks& marks);
 
-//! nullopt unless the bytes are exactly one encoding within the limits of
-//! TokenSealer.
+//! Returns nullopt unless `bytes` holds exactly one encoding within the limits
+//! of TokenSealer.
 std::optional<Marks> DecodeMarks(std::string_view bytes);
 
 }  // namespace goldcrest::session
--- a/session/src/authenticated_cipher.cc
+++ b/session/src/authenticated_cipher.cc
@@ -30,7 +30,8 @@
 
 }  // namespace
 
-// The nonce has GCM's default size of 12 bytes in both functions.
+// Encrypt() and Decrypt() rely on the nonce having GCM's default size of 12
+// bytes.
 std::optional<std::string> Encrypt(const TokenSealer::Secret& secret,
                                    TokenSealer::Nonce nonce,
                                    std::string_view header,
@@ -76,9 +77,9 @@
                           tag.data()) != 1) {
     return std::nullopt;
   }
-  // The tag is compared here; before, the plain text is not to be trusted.
-  std::uint8_t rest = 0;
-  if (EVP_DecryptFinal_ex(context.get(), &rest, &size) != 1)
+  // The tag is verified here; until then the plaintext is not authenticated.
+  std::uint8_t unused = 0;
+  if (EVP_DecryptFinal_ex(context.get(), &unused, &size) != 1)
     return std::nullopt;
   return plain;
 }
--- a/session/src/token_text.cc
+++ b/session/src/base64_url.cc
@@ -1,4 +1,4 @@
-#include "internal/token_text.h"
+#include "internal/base64_url.h"
 
 #include <openssl/evp.h>
 
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-std::string ToTokenText(std::string_view bytes) {
+std::string EncodeBase64Url(std::string_view bytes) {
   const std::size_t blocks = (bytes.size() + kBlockBytes - 1) / kBlockBytes;
   // EVP_EncodeBlock adds a final zero byte.
   std::string text(blocks * kBlockCharacters + 1, '\0');
@@ -29,7 +29,7 @@
   return text;
 }
 
-std::optional<std::string> FromTokenText(std::string_view text) {
+std::optional<std::string> DecodeBase64Url(std::string_view text) {
   std::string padded(text);
   std::replace(padded.begin(), padded.end(), '-', '+');
   std::replace(padded.begin(), padded.end(), '_', '/');
@@ -46,9 +46,9 @@
   if (size < static_cast<int>(padding) || padding >= kBlockBytes)
     return std::nullopt;
   bytes.resize(static_cast<std::size_t>(size) - padding);
-  // EVP_DecodeBlock skips blanks and ignores unused low bits of the last
-  // character; such variants of a token are not the token that was sealed.
-  if (ToTokenText(bytes) != text)
+  // EVP_DecodeBlock skips blanks and ignores the unused low bits of the last
+  // character. Encoding the result again detects such variants of a text.
+  if (EncodeBase64Url(bytes) != text)
     return std::nullopt;
   return bytes;
 }
--- a/session/src/mark_codec.cc
+++ b/session/src/mark_codec.cc
@@ -22,7 +22,7 @@
 constexpr int kMaxBytes = static_cast<int>(TokenSealer::kMaxTokenBytes);
 
 // Throws on malformed bytes.
-std::optional<Marks> Read(Protocol& protocol) {
+std::optional<Marks> ReadMarks(Protocol& protocol) {
   Marks marks;
   protocol.readString(marks.customer);
   std::int32_t count = 0;
@@ -67,7 +67,7 @@
   Protocol protocol(buffer);
   std::optional<Marks> marks;
   try {
-    marks = Read(protocol);
+    marks = ReadMarks(protocol);
   } catch (const std::exception&) {
     return std::nullopt;
   }
--- a/session/src/marks.cc
+++ b/session/src/marks.cc
@@ -13,8 +13,8 @@
   for (const messages::TermStart& start : term_starts) {
     if (start.term <= mark.term || start.term > current_term)
       continue;
-    // A later promotion may have kept less than the one before it, so every
-    // start counts and not only the first.
+    // A later promotion may have kept a shorter log than the one before it, so
+    // the start of every later term counts and not only the first.
     effective.position = std::min(effective.position, start.position);
   }
   return effective;
--- a/session/src/position_history.cc
+++ b/session/src/position_history.cc
@@ -7,12 +7,12 @@
 void PositionHistory::Record(Time observed, std::int64_t position) {
   if (!observations_.empty() && observed < observations_.back().time)
     return;
-  // An earlier observation at the same or a higher position dates nothing that
-  // this one does not date better.
+  // Earlier observations at the same or a higher position are redundant: the
+  // new one gives a lower age for the same data.
   while (!observations_.empty() && observations_.back().position >= position)
     observations_.pop_back();
   if (observations_.size() >= kCapacity)
-    ThinOut();
+    RemoveOlderObservations();
   observations_.push_back({observed, position});
 }
 
@@ -32,9 +32,9 @@
   observations_.clear();
 }
 
-// Drops every second observation of the older half: recent ages stay exact,
-// and long ones, which need no precision, are still bounded.
-void PositionHistory::ThinOut() {
+// Drops every second observation of the older half. Recent ages stay exact;
+// long ages need no precision and remain upper bounds.
+void PositionHistory::RemoveOlderObservations() {
   const std::size_t half = observations_.size() / 2;
   std::size_t kept = 0;
   for (std::size_t i = 0; i < observations_.size(); ++i) {
--- a/session/src/token_sealer.cc
+++ b/session/src/token_sealer.cc
@@ -4,14 +4,14 @@
 #include <boost/leaf/error.hpp>
 
 #include "internal/authenticated_cipher.h"
+#include "internal/base64_url.h"
 #include "internal/mark_codec.h"
-#include "internal/token_text.h"
 
 namespace goldcrest::session {
 namespace {
 
-// First byte of a token; authenticated.
-constexpr std::string_view kVersion("\x01", 1);
+// First byte of a token. It is authenticated as the header of the cipher.
+constexpr std::string_view kTokenVersion("\x01", 1);
 
 TokenSealer::Secret ToSecret(std::string_view bytes) {
   TokenSealer::Secret secret{};
@@ -19,7 +19,7 @@
   return secret;
 }
 
-bool NamesFit(const Marks& marks) {
+bool AreNamesWithinLimit(const Marks& marks) {
   return marks.customer.size() <= TokenSealer::kMaxNameBytes &&
          std::all_of(marks.groups.begin(), marks.groups.end(),
                      [](const auto& entry) {
@@ -45,33 +45,36 @@
                                                    Nonce nonce) const {
   if (marks.groups.size() > kMaxGroups)
     return boost::leaf::new_error(SealError::kTooManyGroups);
-  if (!NamesFit(marks))
+  if (!AreNamesWithinLimit(marks))
     return boost::leaf::new_error(SealError::kNameTooLong);
   const std::optional<std::string> sealed =
-      Encrypt(current_, nonce, kVersion, EncodeMarks(marks));
+      Encrypt(current_, nonce, kTokenVersion, EncodeMarks(marks));
   if (!sealed)
     return boost::leaf::new_error(SealError::kCryptoFailed);
-  std::string bytes(kVersion);
+  std::string bytes(kTokenVersion);
   bytes.append(nonce.begin(), nonce.end());
   bytes.append(*sealed);
-  return ToTokenText(bytes);
+  return EncodeBase64Url(bytes);
 }
 
 std::optional<Marks> TokenSealer::Open(std::string_view token) const {
   if (token.size() > kMaxTokenBytes)
     return std::nullopt;
-  const std::optional<std::string> bytes = FromTokenText(token);
-  if (!bytes || bytes->size() < kVersion.size() + kNonceBytes + kTagBytes ||
-      !bytes->starts_with(kVersion)) {
+  const std::optional<std::string> bytes = DecodeBase64Url(token);
+  if (!bytes ||
+      bytes->size() < kTokenVersion.size() + kNonceBytes + kTagBytes ||
+      !bytes->starts_with(kTokenVersion)) {
     return std::nullopt;
   }
   std::array<std::uint8_t, kNonceBytes> nonce{};
-  std::copy_n(bytes->begin() + kVersion.size(), nonce.size(), nonce.begin());
+  std::copy_n(bytes->begin() + kTokenVersion.size(), nonce.size(),
+              nonce.begin());
   const std::string_view sealed =
-      std::string_view(*bytes).substr(kVersion.size() + kNonceBytes);
-  std::optional<std::string> plain = Decrypt(current_, nonce, kVersion, sealed);
+      std::string_view(*bytes).substr(kTokenVersion.size() + kNonceBytes);
+  std::optional<std::string> plain =
+      Decrypt(current_, nonce, kTokenVersion, sealed);
   if (!plain && previous_)
-    plain = Decrypt(*previous_, nonce, kVersion, sealed);
+    plain = Decrypt(*previous_, nonce, kTokenVersion, sealed);
   if (!plain)
     return std::nullopt;
   return DecodeMarks(*plain);
--- a/session/tests/marks_test.cc
+++ b/session/tests/marks_test.cc
@@ -13,13 +13,13 @@
   return start;
 }
 
-// The second promotion kept less than the first one.
+// The promotion to term 3 kept a shorter log than the one to term 2.
 const std::vector<messages::TermStart> kStarts = {Start(1, 0), Start(2, 90),
                                                   Start(3, 85)};
 
 }  // namespace
 
-// Guards against a session waiting for a position that no member will have.
+// Guards against a session waiting for a position that no member ever reaches.
 TEST_CASE("A mark is limited by every promotion after it",
           "[session][guarantee]") {
   CHECK(EffectiveMark({1, 100}, 2, kStarts) == Mark{2, 90});
@@ -36,7 +36,7 @@
   CHECK(EffectiveMark({2, 95}, 3, {}) == Mark{3, 95});
 }
 
-TEST_CASE("A mark of a later term shows that the view is old",
+TEST_CASE("A mark of a later term shows that the instance's view is old",
           "[session][guarantee]") {
   CHECK(IsFromLaterTerm({4, 10}, 3));
   CHECK_FALSE(IsFromLaterTerm({3, 10}, 3));
--- a/session/tests/token_sealer_test.cc
+++ b/session/tests/token_sealer_test.cc
@@ -56,12 +56,12 @@
   CHECK(sealer.Open(MustSeal(sealer, {})) == Marks{});
 }
 
-// Guards against a caller giving itself another customer's or no mark.
-TEST_CASE("A token that differs in any character opens to nothing",
+// Guards against a caller forging the marks or the customer of its session.
+TEST_CASE("A token with any changed character is rejected",
           "[session][guarantee]") {
   const TokenSealer sealer(SecretOf(7));
-  // Three sizes, so that each possible number of unused bits at the end of the
-  // text is met.
+  // Three sizes cover each possible number of unused bits at the end of the
+  // text.
   std::vector<std::string> tokens;
   for (const char* customer : {"a", "ab", "abc"})
     tokens.push_back(MustSeal(sealer, {customer, {{"g", {1, 2}}}}));
@@ -88,14 +88,14 @@
   CHECK_FALSE(sealer.Open(std::string(100'000, 'A')));
 }
 
-TEST_CASE("A token of a foreign secret opens to nothing",
+TEST_CASE("A token sealed with another secret is rejected",
           "[session][guarantee]") {
   const std::string token = MustSeal(TokenSealer(SecretOf(8)), MarksOf(1));
   CHECK_FALSE(TokenSealer(SecretOf(7)).Open(token));
   CHECK_FALSE(TokenSealer(SecretOf(7), SecretOf(6)).Open(token));
 }
 
-TEST_CASE("A token outlives one rotation of the secret", "[session]") {
+TEST_CASE("A token stays valid after one rotation of the secret", "[session]") {
   const std::string old_token = MustSeal(TokenSealer(SecretOf(1)), MarksOf(1));
   const TokenSealer rotated(SecretOf(2), SecretOf(1));
   CHECK(rotated.Open(old_token) == MarksOf(1));
@@ -112,8 +112,8 @@
   CHECK_FALSE(TokenSealer::FromBytes(std::string(33, '\2')));
 }
 
-// Guards against a session that loses its oldest writes from sight.
-TEST_CASE("Marks that don't fit are an error and are never dropped",
+// Guards against a session that no longer sees its oldest writes.
+TEST_CASE("Marks beyond the limits are an error and are never dropped",
           "[session][guarantee]") {
   CHECK_FALSE(ErrorOf(MarksOf(64)));
   CHECK(ErrorOf(MarksOf(65)) == SealError::kTooManyGroups);
