--- a/entry/src/ingress.cc
+++ b/entry/src/ingress.cc
@@ -62,7 +62,7 @@
     return HasControlLease(now) ? ResultCode::kUnknownGroup
                                 : ResultCode::kNoControlContact;
   }
-  policy::CallerFacts facts;
+  policy::AccessRequest facts;
   facts.key_digest = request.key_digest;
   facts.group = request.group;
   facts.write = Writes(request.operation);
--- a/policy/include/goldcrest/policy/access_decision.h
+++ b/policy/include/goldcrest/policy/access_decision.h
@@ -18,10 +18,12 @@
   std::string customer;  //!< Empty without a key.
   std::string key_name;  //!< Empty without a key.
   std::string rule;      //!< Empty unless the code is kOk.
-  //! Oldest data that a read accepts; nullopt: only the primary's.
+  //! Maximum age of the data that a read accepts; nullopt: only the primary's
+  //! data.
   std::optional<std::chrono::milliseconds> max_age;
   messages::Durability::type durability = messages::Durability::MAJORITY;
-  std::vector<std::string> endpoints;  //!< Allowed ones, in the order given.
+  //! Allowed endpoints, in the order of AccessRequest::endpoints.
+  std::vector<std::string> endpoints;
 
   bool operator==(const AccessDecision&) const = default;
 };
--- a/policy/include/goldcrest/policy/caller_facts.h
+++ b/policy/include/goldcrest/policy/access_request.h
@@ -1,5 +1,5 @@
-#ifndef GOLDCREST_POLICY_CALLER_FACTS_H_
-#define GOLDCREST_POLICY_CALLER_FACTS_H_
+#ifndef GOLDCREST_POLICY_ACCESS_REQUEST_H_
+#define GOLDCREST_POLICY_ACCESS_REQUEST_H_
 
 #include <span>
 #include <string_view>
@@ -8,9 +8,9 @@
 
 namespace goldcrest::policy {
 
-//! What is known of a request when access to a group is decided.
-struct CallerFacts {
-  std::string_view key_digest;  //!< SHA-256 of the key; empty: no key shown.
+//! A request for access to a group, as the input of Configuration::Decide().
+struct AccessRequest {
+  std::string_view key_digest;  //!< SHA-256 of the key; empty without a key.
   std::string_view group;
   bool write = false;
   //! Endpoints of `group`; those of other groups are ignored.
@@ -19,4 +19,4 @@
 
 }  // namespace goldcrest::policy
 
-#endif  // GOLDCREST_POLICY_CALLER_FACTS_H_
+#endif  // GOLDCREST_POLICY_ACCESS_REQUEST_H_
--- a/policy/include/goldcrest/policy/configuration_state.h
+++ b/policy/include/goldcrest/policy/configuration_state.h
@@ -8,10 +8,10 @@
 
 namespace goldcrest::policy {
 
-//! The configuration in a snapshot; the fields go into ControlSnapshot.
+//! State of a Configuration for a snapshot; ControlSnapshot stores its fields.
 struct ConfigurationState {
   std::int64_t revision = 0;
-  std::vector<messages::Object> objects;         //!< With tombstones.
+  std::vector<messages::Object> objects;         //!< Including tombstones.
   std::vector<messages::AppliedChange> changes;  //!< Oldest first.
 
   bool operator==(const ConfigurationState&) const = default;
--- a/policy/include/goldcrest/policy/dry_run_report.h
+++ b/policy/include/goldcrest/policy/dry_run_report.h
@@ -8,14 +8,15 @@
 
 namespace goldcrest::policy {
 
-//! What a change would do, without doing it. Names are in ascending order.
+//! Effects that a change would have. Names are in ascending order.
 struct DryRunReport {
-  messages::ChangeResult result;       //!< Answer the change would get.
-  std::vector<std::string> customers;  //!< Quota or a key's decision differs.
-  std::vector<std::string> keys;       //!< A decision differs.
-  //! Allowed to other callers than before, or begins or ends leaving.
+  messages::ChangeResult result;  //!< Result of the change.
+  //! Customers whose quota, or the decision for one of whose keys, differs.
+  std::vector<std::string> customers;
+  std::vector<std::string> keys;  //!< Keys for which a decision differs.
+  //! Endpoints allowed to different callers, or that start or stop leaving.
   std::vector<std::string> endpoints;
-  bool callers_without_key = false;  //!< A decision without a key differs.
+  bool callers_without_key = false;  //!< A decision for them differs.
 };
 
 }  // namespace goldcrest::policy
--- a/policy/include/goldcrest/policy/label_view.h
+++ b/policy/include/goldcrest/policy/label_view.h
@@ -11,9 +11,10 @@
 
 namespace goldcrest::policy {
 
-//! Labels in layers, looked up without copying them: a decision is made for
-//! every request. The last layer added wins; built-in labels win over all.
-//! What it is given must outlive it.
+//! Layers of labels, which are not copied because every request needs a lookup.
+//! A label hides the same label of layers added before, and a built-in label
+//! hides those of all layers. The view must not outlive the labels and texts
+//! that were added.
 class LabelView {
  public:
   LabelView() = default;
--- a/policy/include/goldcrest/policy/object_table.h
+++ b/policy/include/goldcrest/policy/object_table.h
@@ -23,31 +23,34 @@
   //! Adds or replaces the object of this kind and name.
   void Put(messages::Object object);
 
-  //! nullptr when there was never such an object. May be a tombstone.
+  //! Returns nullptr when no such object ever existed. The object may be a
+  //! tombstone.
   const messages::Object* Find(messages::ObjectKind::type kind,
                                const std::string& name) const;
 
-  //! As Find, without tombstones.
+  //! As Find(), without tombstones.
   const messages::Object* FindLive(messages::ObjectKind::type kind,
                                    const std::string& name) const;
 
-  //! The key, or tombstone of a key, with this digest.
+  //! Returns the key, or the tombstone of a key, with this digest; nullptr if
+  //! none.
   const messages::Object* FindKey(std::string_view digest) const;
 
-  //! Names of the live keys of a customer.
+  //! Returns the names of a customer's live keys.
   std::set<std::string> KeysOf(const std::string& customer) const;
 
-  //! Live objects of a kind in ascending order of name.
+  //! Returns the live objects of a kind in ascending order of name.
   std::vector<const messages::Object*> Live(
       messages::ObjectKind::type kind) const;
 
-  //! Objects and tombstones changed after `revision`, in order of revision.
+  //! Returns the objects and tombstones changed after `revision`, in order of
+  //! revision.
   std::vector<messages::Object> ChangedSince(std::int64_t revision) const;
 
  private:
   using RevisionEntry = std::pair<std::int64_t, ObjectId>;
 
-  // Lets digests be looked up without a copy on each request.
+  // Allows lookups by string_view, which avoids a copy on each request.
   struct DigestHash {
     using is_transparent = void;
     std::size_t operator()(std::string_view digest) const {
--- a/policy/include/goldcrest/policy/quota_limit.h
+++ b/policy/include/goldcrest/policy/quota_limit.h
@@ -6,11 +6,11 @@
 
 namespace goldcrest::policy {
 
-//! A customer's rate and burst over the whole fleet.
+//! A customer's rate and burst over all instances.
 struct QuotaLimit {
   std::int64_t rate_micros = 0;   //!< Millionths of a request a second.
   std::int64_t burst_micros = 0;  //!< Millionths of a request.
-  std::string rule;
+  std::string rule;               //!< Name of the quota rule.
 
   bool operator==(const QuotaLimit&) const = default;
 };
--- a/policy/include/goldcrest/policy/rule_table.h
+++ b/policy/include/goldcrest/policy/rule_table.h
@@ -11,22 +11,24 @@
 
 namespace goldcrest::policy {
 
-//! An access or quota object with its selectors compiled.
+//! An access or quota object with its parsed selectors.
 struct Rule {
   messages::Object object;
   Selector callers;
   Selector endpoints;
 };
 
-//! Live access and quota rules, each in the order in which they are tried.
+//! Live access rules and live quota rules, in the order in which they are
+//! tried.
 class RuleTable {
  public:
-  //! Order, then name.
+  //! Sort key of a rule: its order, then its name.
   using Rank = std::pair<std::int32_t, std::string>;
   using Rules = std::map<Rank, Rule>;
 
-  //! Takes over a change of one object of any kind; `old_object` is nullptr
-  //! for a new one. A rule whose selectors don't parse matches nothing.
+  //! Updates the rules after a change of one object of any kind; `old_object`
+  //! is nullptr for a new object. A rule whose selectors can't be parsed is
+  //! left out, so that it matches nothing.
   void Update(const messages::Object* old_object,
               const messages::Object& new_object);
 
--- a/policy/include/goldcrest/policy/selector.h
+++ b/policy/include/goldcrest/policy/selector.h
@@ -13,18 +13,18 @@
 
 namespace goldcrest::policy {
 
-//! Why a text is not a selector; the error object of Selector::Parse.
+//! Why a text is not a selector; the error object of Selector::Parse().
 struct SelectorError {
-  std::size_t position = 0;  //!< Offset in bytes at which reading stopped.
+  std::size_t position = 0;  //!< Byte offset at which parsing failed.
   std::string expected;
 
   //! For example "at position 5: expected a label value".
   std::string ToString() const;
 };
 
-//! A label expression such as "tier=gold,region in (oyo,osun),!trial". All its
-//! requirements must hold; a selector without any matches everything. "!=" and
-//! "notin" also hold where the label is missing.
+//! A label expression such as "tier=gold,region in (oyo,osun),!trial". Matches
+//! labels that satisfy all its requirements; a selector without requirements
+//! matches everything. "!=" and "notin" also match when the label is missing.
 class Selector {
  public:
   static constexpr std::size_t kMaxTextBytes = 4096;
@@ -52,7 +52,7 @@
   bool Matches(const Labels& labels) const;
   bool Matches(const LabelView& labels) const;
 
-  //! A text that parses to an equal selector.
+  //! Returns a text that parses to an equal selector.
   std::string ToString() const;
 
   bool operator==(const Selector&) const = default;
--- a/policy/internal/change_draft.h
+++ b/policy/internal/change_draft.h
@@ -13,19 +13,22 @@
 
 namespace goldcrest::policy {
 
-//! A change that is checked against a table before any of it is carried out.
+//! Collects the objects of a change and checks them against a table before any
+//! of them is applied.
 class ChangeDraft {
  public:
   explicit ChangeDraft(const ObjectTable& table) : table_(table) {}
 
-  //! Checks the object on its own and against the one it replaces.
+  //! Checks the object by itself and against the object that it replaces, and
+  //! adds it.
   std::optional<Problem> Add(const messages::Object& object);
 
   //! Checks references and key digests as they would be after the change.
   std::optional<Problem> CheckReferences() const;
 
-  //! The objects that differ from the table's, with this revision.
-  std::vector<messages::Object> Differing(std::int64_t revision) const;
+  //! Returns the added objects that differ from the table's, with this
+  //! revision.
+  std::vector<messages::Object> ChangedObjects(std::int64_t revision) const;
 
  private:
   std::optional<Problem> CheckKey(const messages::Object& key) const;
--- a/policy/internal/label_text.h
+++ b/policy/internal/label_text.h
@@ -6,14 +6,15 @@
 
 namespace goldcrest::policy {
 
-//! Letters, digits, dot, underscore and hyphen: what label names and values
-//! consist of. Everything else separates words in a selector.
+//! Characters of label names and values: letters, digits, dot, underscore and
+//! hyphen. Every other character ends a word in a selector.
 constexpr bool IsLabelCharacter(char c) {
   return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') ||
          (c >= '0' && c <= '9') || c == '.' || c == '_' || c == '-';
 }
 
-//! Lower-case letters, digits, dot, underscore and hyphen.
+//! Characters of object names: lower-case letters, digits, dot, underscore and
+//! hyphen.
 constexpr bool IsNameCharacter(char c) {
   return IsLabelCharacter(c) && !(c >= 'A' && c <= 'Z');
 }
--- a/policy/internal/problem.h
+++ b/policy/internal/problem.h
@@ -7,7 +7,7 @@
 
 namespace goldcrest::policy {
 
-//! Why a change is refused.
+//! The reason for which a change is refused.
 struct Problem {
   ResultCode code = ResultCode::kInvalidObject;
   std::string message;
--- a/policy/internal/selector_parser.h
+++ b/policy/internal/selector_parser.h
@@ -11,7 +11,7 @@
 
 namespace goldcrest::policy {
 
-//! Reads the requirements of one selector text, from left to right.
+//! Parses the requirements of one selector text.
 class SelectorParser {
  public:
   explicit SelectorParser(std::string_view text) : text_(text) {}
@@ -28,8 +28,10 @@
 
   void SkipBlanks();
   bool AtEnd();
-  bool Take(std::string_view token);
-  bool TakeWord(std::string_view word);
+  //! Skips blanks, and `token` if it follows.
+  bool Consume(std::string_view token);
+  //! As Consume(), if no label character follows `word`.
+  bool ConsumeWord(std::string_view word);
 
   std::string_view text_;
   std::size_t position_ = 0;
--- a/policy/src/change_draft.cc
+++ b/policy/src/change_draft.cc
@@ -12,7 +12,8 @@
 using messages::Object;
 using messages::ObjectKind;
 
-// A key's tombstone keeps the digest, so that the key is known as withdrawn.
+// The tombstone of a key keeps its digest, so that requests with the key are
+// refused as withdrawn.
 Object TombstoneOf(const Object& object) {
   Object tombstone;
   tombstone.kind = object.kind;
@@ -38,7 +39,8 @@
     return problem;
   const Object* existing = table_.Find(object.kind, object.name);
   if (object.deleted && existing == nullptr) {
-    // Most likely a misspelt name; a withdrawal must not seem to succeed.
+    // The name is most likely misspelt; a withdrawal must not appear to
+    // succeed.
     return ObjectProblem(ResultCode::kUnknownReference, object, "name",
                          "there is no such object to delete");
   }
@@ -71,8 +73,8 @@
   return std::nullopt;
 }
 
-std::vector<Object> ChangeDraft::Differing(std::int64_t revision) const {
-  std::vector<Object> differing;
+std::vector<Object> ChangeDraft::ChangedObjects(std::int64_t revision) const {
+  std::vector<Object> changed;
   for (const auto& [id, object] : objects_) {
     Object candidate = object;
     const Object* existing = table_.Find(id.first, id.second);
@@ -82,9 +84,9 @@
         continue;
     }
     candidate.revision = revision;
-    differing.push_back(std::move(candidate));
+    changed.push_back(std::move(candidate));
   }
-  return differing;
+  return changed;
 }
 
 std::optional<Problem> ChangeDraft::CheckKey(const Object& key) const {
@@ -93,9 +95,9 @@
                          "there is no such customer");
   }
   const Object* existing = table_.Find(ObjectKind::KEY, key.name);
-  // Requests in flight know their key by name only, and an instance may miss
-  // the time between a withdrawal and a new issue. One name for two secrets
-  // would let the withdrawn one go on.
+  // Requests in flight refer to their key by name only, and an instance may
+  // learn of a withdrawal and a new issue at once. Reusing the name for another
+  // secret would keep requests with the withdrawn key running.
   if (existing != nullptr && existing->deleted)
     return InvalidKey(key, "name", "belongs to a withdrawn key");
   if (existing != nullptr && existing->digest != key.digest)
--- a/policy/src/change_memory.cc
+++ b/policy/src/change_history.cc
@@ -1,4 +1,4 @@
-#include "goldcrest/policy/change_memory.h"
+#include "goldcrest/policy/change_history.h"
 
 #include <algorithm>
 #include <utility>
@@ -7,33 +7,33 @@
 
 namespace goldcrest::policy {
 
-void ChangeMemory::Add(messages::AppliedChange change) {
+void ChangeHistory::Add(messages::AppliedChange change) {
   if (changes_.size() >= kCapacity) {
-    numbers_.erase(changes_.front().change_id);
+    number_by_id_.erase(changes_.front().change_id);
     changes_.pop_front();
     ++first_number_;
   }
-  numbers_[change.change_id] = first_number_ + changes_.size();
+  number_by_id_[change.change_id] = first_number_ + changes_.size();
   changes_.push_back(std::move(change));
 }
 
-const messages::AppliedChange* ChangeMemory::Find(
+const messages::AppliedChange* ChangeHistory::Find(
     const std::string& change_id) const {
-  const auto number = numbers_.find(change_id);
-  if (number == numbers_.end())
+  const auto number = number_by_id_.find(change_id);
+  if (number == number_by_id_.end())
     return nullptr;
   return &changes_[number->second - first_number_];
 }
 
-const messages::AppliedChange* ChangeMemory::FirstAcceptedAfter(
+const messages::AppliedChange* ChangeHistory::FirstAcceptedAfter(
     std::int64_t revision) const {
   auto change = std::upper_bound(
       changes_.begin(), changes_.end(), revision,
       [](std::int64_t wanted, const messages::AppliedChange& candidate) {
         return wanted < candidate.result.revision;
       });
-  // Refusals carry the revision that they met, so one may precede the first
-  // acceptance once older changes are forgotten.
+  // Refusals carry the revision at which they were refused, so a refusal may
+  // precede the first accepted change once older changes were dropped.
   for (; change != changes_.end(); ++change) {
     if (change->result.code == ToNumber(ResultCode::kOk))
       return &*change;
@@ -41,7 +41,7 @@
   return nullptr;
 }
 
-std::vector<messages::AppliedChange> ChangeMemory::All() const {
+std::vector<messages::AppliedChange> ChangeHistory::All() const {
   return {changes_.begin(), changes_.end()};
 }
 
--- a/policy/src/configuration.cc
+++ b/policy/src/configuration.cc
@@ -21,9 +21,9 @@
 constexpr std::string_view kStateLabel = "state";
 constexpr std::string_view kLeavingState = "leaving";
 
-ChangeResult Result(ResultCode code,
-                    std::int64_t revision,
-                    std::string message) {
+ChangeResult MakeResult(ResultCode code,
+                        std::int64_t revision,
+                        std::string message) {
   ChangeResult result;
   result.code = ToNumber(code);
   result.revision = revision;
@@ -35,14 +35,15 @@
 
 ChangeResult Configuration::Apply(const Change& change) {
   if (const std::optional<Problem> problem = CheckChange(change))
-    return Result(problem->code, revision_, problem->message);
+    return MakeResult(problem->code, revision_, problem->message);
   const std::string fingerprint = Sha256(messages::Encode(change));
   if (const messages::AppliedChange* known = changes_.Find(change.change_id)) {
     if (known->fingerprint == fingerprint)
       return known->result;
-    return Result(ResultCode::kChangeIdReused, revision_,
-                  fmt::format("change id '{}' belongs to a different change",
-                              change.change_id));
+    return MakeResult(
+        ResultCode::kChangeIdReused, revision_,
+        fmt::format("change id '{}' belongs to a different change",
+                    change.change_id));
   }
   messages::AppliedChange applied;
   applied.change_id = change.change_id;
@@ -54,37 +55,39 @@
 }
 
 ChangeResult Configuration::Evaluate(const Change& change) {
-  // A negative base revision: the change holds on whatever is current, as the
-  // issue and the withdrawal of a key do.
+  // A change with a negative base revision applies to any current revision, as
+  // issuing or withdrawing a key does.
   if (change.base_revision >= 0 && change.base_revision != revision_)
     return Conflict(change);
   ChangeDraft draft(objects_);
   std::optional<Problem> problem;
   for (const Object& object : change.objects) {
     if ((problem = draft.Add(object)))
-      return Result(problem->code, revision_, problem->message);
+      return MakeResult(problem->code, revision_, problem->message);
   }
   if ((problem = draft.CheckReferences()))
-    return Result(problem->code, revision_, problem->message);
+    return MakeResult(problem->code, revision_, problem->message);
   ++revision_;
-  for (Object& object : draft.Differing(revision_))
+  for (Object& object : draft.ChangedObjects(revision_))
     Put(std::move(object));
-  // Conflict() repeats this text, which alone survives in a snapshot.
-  return Result(ResultCode::kOk, revision_,
-                fmt::format("change '{}' by '{}' is revision {}",
-                            change.change_id, change.author, revision_));
+  // Conflict() repeats this text, because a snapshot keeps no other record of
+  // who made the change.
+  return MakeResult(ResultCode::kOk, revision_,
+                    fmt::format("change '{}' by '{}' is revision {}",
+                                change.change_id, change.author, revision_));
 }
 
 ChangeResult Configuration::Conflict(const Change& change) const {
   if (change.base_revision > revision_) {
-    return Result(ResultCode::kRevisionConflict, revision_,
-                  fmt::format("based on revision {}, which does not exist; the "
-                              "current one is {}",
-                              change.base_revision, revision_));
+    return MakeResult(
+        ResultCode::kRevisionConflict, revision_,
+        fmt::format("based on revision {}, which does not exist; the "
+                    "current one is {}",
+                    change.base_revision, revision_));
   }
   const messages::AppliedChange* winner =
       changes_.FirstAcceptedAfter(change.base_revision);
-  return Result(
+  return MakeResult(
       ResultCode::kRevisionConflict, revision_,
       fmt::format("based on revision {}, but {}; the current one is {}",
                   change.base_revision,
@@ -139,12 +142,12 @@
   return objects;
 }
 
-AccessDecision Configuration::Decide(const CallerFacts& facts) const {
+AccessDecision Configuration::Decide(const AccessRequest& request) const {
   AccessDecision decision;
-  LabelView caller;
-  const bool with_key = !facts.key_digest.empty();
+  LabelView caller_labels;
+  const bool with_key = !request.key_digest.empty();
   if (with_key) {
-    const Object* key = objects_.FindKey(facts.key_digest);
+    const Object* key = objects_.FindKey(request.key_digest);
     if (key == nullptr) {
       decision.code = ResultCode::kKeyUnknown;
       return decision;
@@ -157,20 +160,20 @@
       decision.code = ResultCode::kKeyWithdrawn;
       return decision;
     }
-    caller.AddLayer(customer->labels);
-    caller.AddLayer(key->labels);
-    caller.AddBuiltIn("customer", customer->name);
-    caller.AddBuiltIn("key", key->name);
+    caller_labels.AddLayer(customer->labels);
+    caller_labels.AddLayer(key->labels);
+    caller_labels.AddBuiltIn("customer", customer->name);
+    caller_labels.AddBuiltIn("key", key->name);
   }
   for (const auto& [rank, rule] : rules_.Access()) {
     const Object& access = rule.object;
-    if (facts.write && access.mode != messages::AccessMode::WRITE)
+    if (request.write && access.mode != messages::AccessMode::WRITE)
       continue;
     if (!with_key && !access.open)
       continue;
-    if (!rule.callers.Matches(caller))
+    if (!rule.callers.Matches(caller_labels))
       continue;
-    SelectEndpoints(rule, facts, decision.endpoints);
+    SelectEndpoints(rule, request, decision.endpoints);
     if (decision.endpoints.empty())
       continue;
     decision.code = ResultCode::kOk;
@@ -189,10 +192,10 @@
   const Object* object = objects_.FindLive(ObjectKind::CUSTOMER, customer);
   if (object == nullptr)
     return std::nullopt;
-  LabelView caller(object->labels);
-  caller.AddBuiltIn("customer", object->name);
+  LabelView caller_labels(object->labels);
+  caller_labels.AddBuiltIn("customer", object->name);
   for (const auto& [rank, rule] : rules_.Quota()) {
-    if (!rule.callers.Matches(caller))
+    if (!rule.callers.Matches(caller_labels))
       continue;
     return QuotaLimit{rule.object.rate_micros, rule.object.burst_micros,
                       rule.object.name};
@@ -236,10 +239,10 @@
 }
 
 void Configuration::SelectEndpoints(const Rule& rule,
-                                    const CallerFacts& facts,
+                                    const AccessRequest& request,
                                     std::vector<std::string>& selected) const {
-  for (const messages::EndpointInfo& info : facts.endpoints) {
-    if (info.group != facts.group)
+  for (const messages::EndpointInfo& info : request.endpoints) {
+    if (info.group != request.group)
       continue;
     if (rule.endpoints.Matches(LabelsOf(info)))
       selected.push_back(info.endpoint);
--- a/policy/src/dry_run.cc
+++ b/policy/src/dry_run.cc
@@ -18,14 +18,16 @@
 using EndpointsByGroup = std::map<std::string, std::vector<EndpointInfo>>;
 using Names = std::set<std::string>;
 
-// Collects what differs between two configurations.
-class Comparison {
+// Collects the customers, keys and endpoints for which two configurations
+// decide differently.
+class ConfigurationDiff {
  public:
-  Comparison(const Configuration& before,
-             const Configuration& after,
-             std::span<const EndpointInfo> endpoints)
+  ConfigurationDiff(const Configuration& before,
+                    const Configuration& after,
+                    std::span<const EndpointInfo> endpoints)
       : before_(before), after_(after) {
-    // Shows issued and withdrawn keys even while no endpoint is known.
+    // Decisions for this empty group differ for issued and withdrawn keys, even
+    // when no endpoint is known.
     groups_[""];
     for (const EndpointInfo& info : endpoints)
       groups_[info.group].push_back(info);
@@ -33,16 +35,16 @@
 
   void CompareKeys() {
     std::map<std::string, std::string> digests;
-    for (const Configuration* side : {&before_, &after_}) {
-      for (const Object& key : side->Objects(ObjectKind::KEY))
+    for (const Configuration* configuration : {&before_, &after_}) {
+      for (const Object& key : configuration->Objects(ObjectKind::KEY))
         digests.emplace(key.name, key.digest);
     }
     for (const auto& [name, digest] : digests) {
       if (!DecisionsDiffer(digest))
         continue;
       keys_.insert(name);
-      AddOwner(before_, name);
-      AddOwner(after_, name);
+      AddCustomerOf(before_, name);
+      AddCustomerOf(after_, name);
     }
     callers_without_key_ = DecisionsDiffer("");
   }
@@ -72,15 +74,17 @@
  private:
   Names NamesOf(ObjectKind::type kind) const {
     Names names;
-    for (const Configuration* side : {&before_, &after_}) {
-      for (const Object& object : side->Objects(kind))
+    for (const Configuration* configuration : {&before_, &after_}) {
+      for (const Object& object : configuration->Objects(kind))
         names.insert(object.name);
     }
     return names;
   }
 
-  void AddOwner(const Configuration& side, const std::string& key_name) {
-    const std::optional<Object> key = side.Find(ObjectKind::KEY, key_name);
+  void AddCustomerOf(const Configuration& configuration,
+                     const std::string& key_name) {
+    const std::optional<Object> key =
+        configuration.Find(ObjectKind::KEY, key_name);
     if (key)
       customers_.insert(key->customer);
   }
@@ -89,9 +93,9 @@
     bool differ = false;
     for (const auto& [group, infos] : groups_) {
       for (const bool write : {false, true}) {
-        const CallerFacts facts{digest, group, write, infos};
-        const AccessDecision before = before_.Decide(facts);
-        const AccessDecision after = after_.Decide(facts);
+        const AccessRequest request{digest, group, write, infos};
+        const AccessDecision before = before_.Decide(request);
+        const AccessDecision after = after_.Decide(request);
         if (before == after)
           continue;
         differ = true;
@@ -133,11 +137,11 @@
   }
   Configuration after = *this;
   messages::ChangeResult result = after.Evaluate(change);
-  Comparison comparison(*this, after, endpoints);
-  comparison.CompareKeys();
-  comparison.CompareQuotas();
-  comparison.CompareLeaving();
-  return comparison.Report(std::move(result));
+  ConfigurationDiff diff(*this, after, endpoints);
+  diff.CompareKeys();
+  diff.CompareQuotas();
+  diff.CompareLeaving();
+  return diff.Report(std::move(result));
 }
 
 }  // namespace goldcrest::policy
--- a/policy/src/object_checks.cc
+++ b/policy/src/object_checks.cc
@@ -25,7 +25,7 @@
 constexpr std::size_t kDigestBytes = 32;
 constexpr std::size_t kMaxLabels = 32;
 
-// Bounds keep sums and products of these values far from overflow.
+// These bounds keep sums and products of the values far from overflow.
 constexpr std::int64_t kMaxOrder = 1'000'000;
 constexpr std::int64_t kMaxAgeMs = 7LL * 24 * 60 * 60 * 1000;
 constexpr std::int64_t kMaxRateMicros = 1'000'000'000'000'000;
@@ -33,26 +33,27 @@
 constexpr std::int64_t kMaxObjectivePpm = 999'999;
 constexpr std::int64_t kMaxLatencyMs = 600'000;
 
-constexpr unsigned Bit(ObjectKind::type kind) {
+constexpr unsigned KindBit(ObjectKind::type kind) {
   return 1U << static_cast<unsigned>(kind);
 }
 
-constexpr unsigned kCustomer = Bit(ObjectKind::CUSTOMER);
-constexpr unsigned kKey = Bit(ObjectKind::KEY);
-constexpr unsigned kEndpoint = Bit(ObjectKind::ENDPOINT);
-constexpr unsigned kAccess = Bit(ObjectKind::ACCESS);
-constexpr unsigned kQuota = Bit(ObjectKind::QUOTA);
-constexpr unsigned kObjective = Bit(ObjectKind::OBJECTIVE);
+constexpr unsigned kCustomer = KindBit(ObjectKind::CUSTOMER);
+constexpr unsigned kKey = KindBit(ObjectKind::KEY);
+constexpr unsigned kEndpoint = KindBit(ObjectKind::ENDPOINT);
+constexpr unsigned kAccess = KindBit(ObjectKind::ACCESS);
+constexpr unsigned kQuota = KindBit(ObjectKind::QUOTA);
+constexpr unsigned kObjective = KindBit(ObjectKind::OBJECTIVE);
 
-// Which kinds may and must have a field.
-struct Field {
+// A field of an object, with the kinds that may and the kinds that must have
+// it.
+struct FieldRule {
   std::string_view name;
   bool set;
   unsigned allowed;
   unsigned required;
 };
 
-std::array<Field, 14> FieldsOf(const Object& object) {
+std::array<FieldRule, 14> FieldRulesFor(const Object& object) {
   const auto& set = object.__isset;
   return {{
       {"labels", !object.labels.empty(), kCustomer | kKey | kEndpoint, 0},
@@ -72,7 +73,8 @@
   }};
 }
 
-struct Number {
+// A numeric field of an object, with its valid range.
+struct NumberRange {
   std::string_view field;
   bool set;
   std::int64_t value;
@@ -80,7 +82,7 @@
   std::int64_t max;
 };
 
-std::array<Number, 8> NumbersOf(const Object& object) {
+std::array<NumberRange, 8> NumberRangesFor(const Object& object) {
   const auto& set = object.__isset;
   return {{
       {"mode", set.mode, object.mode, messages::AccessMode::READ,
@@ -90,7 +92,7 @@
       {"max_age_ms", set.max_age_ms, object.max_age_ms, 1, kMaxAgeMs},
       {"order", set.order, object.order, -kMaxOrder, kMaxOrder},
       {"rate_micros", set.rate_micros, object.rate_micros, 1, kMaxRateMicros},
-      // A burst below one request would never let any through.
+      // With a burst below one request, no request would ever be admitted.
       {"burst_micros", set.burst_micros, object.burst_micros, kOneRequestMicros,
        kMaxRateMicros},
       {"objective_ppm", set.objective_ppm, object.objective_ppm, 1,
@@ -113,7 +115,7 @@
   });
 }
 
-std::string Printable(std::string_view text) {
+std::string MaskUnprintable(std::string_view text) {
   std::string printable(text.substr(0, kMaxNameBytes));
   std::replace_if(
       printable.begin(), printable.end(),
@@ -139,71 +141,74 @@
   return "object of unknown kind";
 }
 
-// Built-in labels, which an operator can't set; see docs.
-bool IsReserved(ObjectKind::type kind, std::string_view label) {
+// Built-in labels are set by the proxy, so operators can't set them.
+bool IsBuiltInLabel(ObjectKind::type kind, std::string_view label) {
   if (kind == ObjectKind::ENDPOINT)
     return label == "endpoint" || label == "group" || label == "zone";
   return label == "customer" || label == "key";
 }
 
-std::optional<Problem> Invalid(const Object& object,
-                               std::string_view field,
-                               std::string_view text) {
+std::optional<Problem> InvalidObject(const Object& object,
+                                     std::string_view field,
+                                     std::string_view text) {
   return ObjectProblem(ResultCode::kInvalidObject, object, field, text);
 }
 
-std::optional<Problem> CheckIdentity(const Object& object) {
+std::optional<Problem> CheckKindAndName(const Object& object) {
   if (object.kind < ObjectKind::CUSTOMER || object.kind > ObjectKind::OBJECTIVE)
-    return Invalid(object, "kind", "is unknown");
+    return InvalidObject(object, "kind", "is unknown");
   if (object.name.empty() || object.name.size() > kMaxNameBytes ||
       !IsNameText(object.name)) {
-    return Invalid(object, "name", "must be 1 to 63 bytes of [a-z0-9._-]");
+    return InvalidObject(object, "name",
+                         "must be 1 to 63 bytes of [a-z0-9._-]");
   }
   return std::nullopt;
 }
 
 std::optional<Problem> CheckFields(const Object& object) {
-  for (const Field& field : FieldsOf(object)) {
-    if (field.set && (field.allowed & Bit(object.kind)) == 0)
-      return Invalid(object, field.name, "does not belong to this kind");
-    if (!field.set && (field.required & Bit(object.kind)) != 0)
-      return Invalid(object, field.name, "is missing");
+  for (const FieldRule& field : FieldRulesFor(object)) {
+    if (field.set && (field.allowed & KindBit(object.kind)) == 0)
+      return InvalidObject(object, field.name, "does not belong to this kind");
+    if (!field.set && (field.required & KindBit(object.kind)) != 0)
+      return InvalidObject(object, field.name, "is missing");
   }
-  for (const Number& number : NumbersOf(object)) {
+  for (const NumberRange& number : NumberRangesFor(object)) {
     if (!number.set)
       continue;
     if (number.value < number.min || number.value > number.max) {
-      return Invalid(
+      return InvalidObject(
           object, number.field,
           fmt::format("must be from {} to {}", number.min, number.max));
     }
   }
   if (object.__isset.digest && object.digest.size() != kDigestBytes)
-    return Invalid(object, "digest", "must have 32 bytes");
+    return InvalidObject(object, "digest", "must have 32 bytes");
   return std::nullopt;
 }
 
 std::optional<Problem> CheckLabels(const Object& object) {
   if (object.labels.size() > kMaxLabels) {
-    return Invalid(object, "labels",
-                   fmt::format("has more than {} labels", kMaxLabels));
+    return InvalidObject(object, "labels",
+                         fmt::format("has more than {} labels", kMaxLabels));
   }
   for (const auto& [name, value] : object.labels) {
     if (name.empty() || name.size() > Selector::kMaxNameBytes ||
         !IsLabelText(name)) {
-      return Invalid(object, "labels",
-                     fmt::format("name '{}' must be 1 to 63 bytes of "
-                                 "[A-Za-z0-9._-]",
-                                 Printable(name)));
+      return InvalidObject(object, "labels",
+                           fmt::format("name '{}' must be 1 to 63 bytes of "
+                                       "[A-Za-z0-9._-]",
+                                       MaskUnprintable(name)));
     }
     if (value.size() > Selector::kMaxValueBytes || !IsLabelText(value)) {
-      return Invalid(object, "labels",
-                     fmt::format("value of '{}' must be at most 63 bytes of "
-                                 "[A-Za-z0-9._-]",
-                                 name));
+      return InvalidObject(
+          object, "labels",
+          fmt::format("value of '{}' must be at most 63 bytes of "
+                      "[A-Za-z0-9._-]",
+                      name));
     }
-    if (IsReserved(object.kind, name))
-      return Invalid(object, "labels", fmt::format("'{}' is built in", name));
+    if (IsBuiltInLabel(object.kind, name))
+      return InvalidObject(object, "labels",
+                           fmt::format("'{}' is built in", name));
   }
   return std::nullopt;
 }
@@ -217,15 +222,15 @@
         return std::optional<Problem>();
       },
       [&](const SelectorError& error) {
-        return Invalid(object, field, error.ToString());
+        return InvalidObject(object, field, error.ToString());
       },
-      [&] { return Invalid(object, field, "is not a selector"); });
+      [&] { return InvalidObject(object, field, "is not a selector"); });
 }
 
 }  // namespace
 
 std::optional<Problem> CheckObject(const Object& object) {
-  std::optional<Problem> problem = CheckIdentity(object);
+  std::optional<Problem> problem = CheckKindAndName(object);
   if (problem || object.deleted)
     return problem;
   if ((problem = CheckFields(object)))
@@ -263,14 +268,15 @@
                       std::string_view field,
                       std::string_view text) {
   return {code, fmt::format("{} '{}': field '{}': {}", KindName(object.kind),
-                            Printable(object.name), field, text)};
+                            MaskUnprintable(object.name), field, text)};
 }
 
 Object Normalized(const Object& object) {
   Object normalized = object;
   const auto& set = object.__isset;
   const Object defaults;
-  // The value of a field that is not set is lost when the object is sent.
+  // Thrift does not send fields that are not set, so a receiver would see
+  // their defaults.
   if (!set.customer)
     normalized.customer = defaults.customer;
   if (!set.digest)
--- a/policy/src/object_table.cc
+++ b/policy/src/object_table.cc
@@ -57,8 +57,8 @@
 std::vector<messages::Object> ObjectTable::ChangedSince(
     std::int64_t revision) const {
   std::vector<messages::Object> changed;
-  // No object has an empty name, so this is below all entries of the next
-  // revision.
+  // Sorts before all entries of the next revision, because no object has an
+  // empty name.
   const RevisionEntry first{revision + 1, ObjectId{}};
   for (auto entry = by_revision_.lower_bound(first);
        entry != by_revision_.end(); ++entry) {
--- a/policy/src/rule_table.cc
+++ b/policy/src/rule_table.cc
@@ -5,7 +5,7 @@
 namespace goldcrest::policy {
 namespace {
 
-std::optional<Selector> Compile(const std::string& text) {
+std::optional<Selector> ParseSelector(const std::string& text) {
   boost::leaf::result<Selector> selector = Selector::Parse(text);
   if (!selector)
     return std::nullopt;
@@ -30,8 +30,8 @@
     rules.erase(RankOf(*old_object));
   if (new_object.deleted)
     return;
-  std::optional<Selector> callers = Compile(new_object.callers);
-  std::optional<Selector> endpoints = Compile(new_object.endpoints);
+  std::optional<Selector> callers = ParseSelector(new_object.callers);
+  std::optional<Selector> endpoints = ParseSelector(new_object.endpoints);
   if (!callers || !endpoints)
     return;
   rules.insert_or_assign(
--- a/policy/src/selector.cc
+++ b/policy/src/selector.cc
@@ -17,7 +17,8 @@
                             std::less<std::string_view>());
 }
 
-bool Holds(const Selector::Requirement& requirement, const LabelView& labels) {
+bool IsSatisfied(const Selector::Requirement& requirement,
+                 const LabelView& labels) {
   const std::optional<std::string_view> value = labels.Find(requirement.label);
   switch (requirement.op) {
     case Selector::Operator::kExists:
@@ -69,7 +70,7 @@
 bool Selector::Matches(const LabelView& labels) const {
   return std::all_of(requirements_.begin(), requirements_.end(),
                      [&labels](const Requirement& requirement) {
-                       return Holds(requirement, labels);
+                       return IsSatisfied(requirement, labels);
                      });
 }
 
--- a/policy/src/selector_parser.cc
+++ b/policy/src/selector_parser.cc
@@ -34,29 +34,29 @@
     requirements.push_back(std::move(requirement));
     if (AtEnd())
       return requirements;
-    if (!Take(","))
+    if (!Consume(","))
       return Error(position_, "an operator, a comma or the end");
   }
 }
 
 boost::leaf::result<Requirement> SelectorParser::ParseRequirement() {
   Requirement requirement;
-  const bool negated = Take("!");
+  const bool negated = Consume("!");
   BOOST_LEAF_ASSIGN(requirement.label,
                     ParseWord(Selector::kMaxNameBytes, "a label name"));
   if (negated) {
     requirement.op = Operator::kNotExists;
     return requirement;
   }
-  if (Take("!=")) {
+  if (Consume("!=")) {
     requirement.op = Operator::kNotIn;
-  } else if (Take("==") || Take("=")) {
+  } else if (Consume("==") || Consume("=")) {
     requirement.op = Operator::kIn;
-  } else if (TakeWord("in")) {
+  } else if (ConsumeWord("in")) {
     requirement.op = Operator::kIn;
     BOOST_LEAF_ASSIGN(requirement.values, ParseValues());
     return requirement;
-  } else if (TakeWord("notin")) {
+  } else if (ConsumeWord("notin")) {
     requirement.op = Operator::kNotIn;
     BOOST_LEAF_ASSIGN(requirement.values, ParseValues());
     return requirement;
@@ -69,7 +69,7 @@
 }
 
 boost::leaf::result<std::vector<std::string>> SelectorParser::ParseValues() {
-  if (!Take("("))
+  if (!Consume("("))
     return Error(position_, "an opening bracket");
   std::vector<std::string> values;
   for (;;) {
@@ -80,9 +80,9 @@
     BOOST_LEAF_AUTO(value,
                     ParseWord(Selector::kMaxValueBytes, "a label value"));
     values.push_back(std::move(value));
-    if (Take(")"))
+    if (Consume(")"))
       break;
-    if (!Take(","))
+    if (!Consume(","))
       return Error(position_, "a comma or a closing bracket");
   }
   std::sort(values.begin(), values.end());
@@ -121,7 +121,7 @@
   return position_ == text_.size();
 }
 
-bool SelectorParser::Take(std::string_view token) {
+bool SelectorParser::Consume(std::string_view token) {
   SkipBlanks();
   if (!text_.substr(position_).starts_with(token))
     return false;
@@ -129,7 +129,7 @@
   return true;
 }
 
-bool SelectorParser::TakeWord(std::string_view word) {
+bool SelectorParser::ConsumeWord(std::string_view word) {
   SkipBlanks();
   const std::string_view rest = text_.substr(position_);
   if (!rest.starts_with(word))
--- a/policy/tests/changes_test.cc
+++ b/policy/tests/changes_test.cc
@@ -1,7 +1,7 @@
 #include <catch2/catch.hpp>
 #include <string>
 
-#include "goldcrest/policy/change_memory.h"
+#include "goldcrest/policy/change_history.h"
 #include "goldcrest/policy/configuration.h"
 #include "tests/objects.h"
 
@@ -21,7 +21,7 @@
 }  // namespace
 
 // Guards against two operators silently overwriting each other.
-TEST_CASE("Of two changes based on one revision, one is told that it lost",
+TEST_CASE("Of two changes based on one revision, the second is refused",
           "[policy][guarantee]") {
   Configuration configuration;
   MustApply(configuration, {Customer("atelier-gent")});
@@ -36,7 +36,7 @@
         "current one is 2");
   CHECK_FALSE(configuration.Find(ObjectKind::CUSTOMER, "b"));
 
-  SECTION("also after a restart, and after later changes") {
+  SECTION("after a restart and later changes") {
     MustApply(configuration, {Customer("d")});
     Configuration restarted;
     restarted.Load(configuration.Save());
@@ -46,13 +46,14 @@
           "based on revision 1, but change 'c1' by 'imke' is revision 2; the "
           "current one is 3");
   }
-  SECTION("a base revision from the future is a conflict as well") {
+  SECTION("a base revision that does not exist yet is also a conflict") {
     CHECK(configuration.Apply(MakeChange("c4", 3, {Customer("e")})).code ==
           Code(ResultCode::kRevisionConflict));
   }
 }
 
-// Guards against a resend after a lost answer being refused or run twice.
+// Guards against a change that is sent again after a lost answer being refused
+// or applied twice.
 TEST_CASE("A resent change gets the first answer", "[policy][guarantee]") {
   Configuration configuration;
   const Change change = MakeChange("c1", 0, {Customer("a")});
@@ -84,8 +85,8 @@
         Code(ResultCode::kChangeIdReused));
 }
 
-// Guards against a change that was refused as not run being run by a delayed
-// copy of itself.
+// Guards against a refused change being applied when a delayed copy of it
+// arrives.
 TEST_CASE("A refused change stays refused when it is resent",
           "[policy][guarantee]") {
   Configuration configuration;
@@ -97,28 +98,28 @@
   CHECK_FALSE(configuration.Find(ObjectKind::CUSTOMER, "a"));
 }
 
-TEST_CASE("The last 10,000 change ids are remembered, and no more",
+TEST_CASE("The results of the last 10,000 changes are stored, and no more",
           "[policy]") {
-  ChangeMemory memory;
-  for (std::size_t i = 1; i <= ChangeMemory::kCapacity + 1; ++i) {
+  ChangeHistory history;
+  for (std::size_t i = 1; i <= ChangeHistory::kCapacity + 1; ++i) {
     messages::AppliedChange change;
     change.change_id = std::to_string(i);
     change.result.revision = static_cast<std::int64_t>(i);
-    // The oldest one that is kept is a refusal.
+    // The oldest stored result is a refusal.
     change.result.code = i == 2 ? Code(ResultCode::kRevisionConflict) : 0;
-    memory.Add(change);
+    history.Add(change);
   }
-  CHECK(memory.Find("1") == nullptr);
-  REQUIRE(memory.Find("2") != nullptr);
-  CHECK(memory.Find("2")->result.revision == 2);
-  CHECK(memory.Find("10001")->result.revision == 10001);
-  CHECK(memory.FirstAcceptedAfter(0)->change_id == "3");
-  CHECK(memory.FirstAcceptedAfter(5000)->change_id == "5001");
-  CHECK(memory.FirstAcceptedAfter(10001) == nullptr);
-  CHECK(memory.All().size() == ChangeMemory::kCapacity);
+  CHECK(history.Find("1") == nullptr);
+  REQUIRE(history.Find("2") != nullptr);
+  CHECK(history.Find("2")->result.revision == 2);
+  CHECK(history.Find("10001")->result.revision == 10001);
+  CHECK(history.FirstAcceptedAfter(0)->change_id == "3");
+  CHECK(history.FirstAcceptedAfter(5000)->change_id == "5001");
+  CHECK(history.FirstAcceptedAfter(10001) == nullptr);
+  CHECK(history.All().size() == ChangeHistory::kCapacity);
 }
 
-TEST_CASE("A change without a difference is answered and changes no object",
+TEST_CASE("A change that differs in nothing is accepted and changes no object",
           "[policy]") {
   Configuration configuration;
   MustApply(configuration, {Customer("a")});
@@ -217,7 +218,7 @@
   CHECK(configuration.Revision() == 2);
 }
 
-TEST_CASE("A change that can't be told apart from others is refused",
+TEST_CASE("A change without a valid id or without objects is refused",
           "[policy]") {
   Configuration configuration;
   for (const std::string& id :
