--- a/policy/tests/decide_test.cc
+++ b/policy/tests/decide_test.cc
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-TEST_CASE("The first rule by order and name that reaches an endpoint wins",
+TEST_CASE("The first rule by order and name that matches an endpoint applies",
           "[policy]") {
   Configuration configuration;
   Object stale = Access("stale", "tier=gold", AccessMode::READ, 1);
@@ -53,13 +53,13 @@
   CHECK(read.durability == messages::Durability::PRIMARY);
   CHECK(read.endpoints == Names{"db-1", "db-2"});
 
-  // The key's label hides the customer's.
+  // The key's label hides the customer's label of the same name.
   const AccessDecision free = Decide(configuration, "k2", false, kEndpoints);
   CHECK(free.rule == "b");
   CHECK_FALSE(free.max_age);
   CHECK(free.endpoints == Names{"db-1"});
 
-  // A rule for reads lets no write through.
+  // A rule for reads does not match a write.
   CHECK(Decide(configuration, "k1", true, kEndpoints).rule == "b");
 
   MustApply(configuration, {Deleted(ObjectKind::ENDPOINT, "db-1")});
@@ -73,8 +73,8 @@
         ResultCode::kNoAccess);
 }
 
-// Guards against a caller without a valid key getting in by a rule that is not
-// open.
+// Guards against a rule that is not open admitting a caller without a valid
+// key.
 TEST_CASE("Without a key only open rules match", "[policy][guarantee]") {
   Configuration configuration;
   MustApply(configuration, {Customer("a"), Key("k1", "a"),
@@ -97,8 +97,8 @@
         ResultCode::kKeyWithdrawn);
 }
 
-// Guards against a withdrawn key being taken for one that never existed, or
-// working again after a restart.
+// Guards against a withdrawn key being reported as unknown, or being accepted
+// again after a restart.
 TEST_CASE("A withdrawn key is refused as withdrawn, also after a restart",
           "[policy][guarantee]") {
   Configuration configuration;
@@ -118,8 +118,8 @@
   CHECK_FALSE(configuration.KeyInForce("never-issued"));
 }
 
-// Guards against a request running for the customer that owned the key before.
-TEST_CASE("A key that moved to another customer acts for that one only",
+// Guards against a request running for the key's previous customer.
+TEST_CASE("A key moved to another customer is valid for that customer only",
           "[policy][guarantee]") {
   Configuration configuration;
   MustApply(configuration, {Customer("a"), Customer("b"), Key("k1", "a"),
@@ -133,13 +133,13 @@
   const AccessDecision moved = Decide(configuration, "k1", true, kEndpoints);
   CHECK(moved.code == ResultCode::kNoAccess);
   CHECK(moved.customer == "b");
-  // The old owner no longer has keys, so it can be deleted.
+  // The previous customer has no keys any more, so it can be deleted.
   MustApply(configuration, {Deleted(ObjectKind::CUSTOMER, "a")});
   CHECK(configuration.KeyInForce("k1"));
 }
 
-// Guards against labels that reach an entry in an update of another version
-// standing in for a built-in one.
+// Guards against a label that replaces a built-in one. Merge() does not check
+// objects, so an update of another version can carry such a label.
 TEST_CASE("A built-in label can't be replaced by an operator's label",
           "[policy][guarantee]") {
   Configuration entry;
@@ -150,7 +150,7 @@
   CHECK(Decide(entry, "k1", true, kEndpoints).code == ResultCode::kNoAccess);
 }
 
-TEST_CASE("A rule whose selector can't be read matches nothing", "[policy]") {
+TEST_CASE("A rule whose selector can't be parsed matches nothing", "[policy]") {
   Configuration entry;
   REQUIRE(entry.Merge({Customer("a"), Key("k1", "a"),
                        Access("bad", "tier >= 3", AccessMode::WRITE)},
@@ -173,7 +173,8 @@
   CHECK_FALSE(configuration.QuotaOf("nobody"));
 }
 
-TEST_CASE("A dry run names what would differ and changes nothing", "[policy]") {
+TEST_CASE("A dry run reports the effects of a change and changes nothing",
+          "[policy]") {
   Configuration configuration;
   MustApply(configuration,
             {Customer("a", {{"tier", "gold"}}), Customer("b"), Key("k1", "a"),
@@ -207,7 +208,7 @@
     CHECK(report.endpoints == Names{"db-1", "db-9"});
     CHECK(report.callers_without_key);
   }
-  SECTION("a withdrawn key, also without any endpoint") {
+  SECTION("a withdrawn key, without any endpoint") {
     const DryRunReport report = configuration.DryRun(
         MakeChange("d", 1, {Deleted(ObjectKind::KEY, "k3")}), {});
     CHECK(report.keys == Names{"k3"});
--- a/policy/tests/merge_test.cc
+++ b/policy/tests/merge_test.cc
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-// Guards against a delayed update bringing a withdrawn key back.
+// Guards against a delayed update making a withdrawn key valid again.
 TEST_CASE("Merging older data never brings a withdrawn key back",
           "[policy][guarantee]") {
   Configuration control;
@@ -45,7 +45,7 @@
         ResultCode::kKeyWithdrawn);
 }
 
-// Guards against a process that missed changes counting itself as up to date.
+// Guards against a process that missed changes regarding itself as up to date.
 TEST_CASE("Changes after a revision that was not reached are not merged",
           "[policy][guarantee]") {
   Configuration control;
@@ -59,9 +59,9 @@
   CHECK(restarted.Save().objects == control.Save().objects);
 }
 
-// Guards against a restart after hundreds of missed changes ending in another
-// state than control's.
-TEST_CASE("An entry that merges now and then ends in control's state",
+// Guards against an entry whose state differs from control's after it has
+// missed hundreds of changes.
+TEST_CASE("An entry that merges at intervals reaches control's state",
           "[policy]") {
   Configuration control;
   Configuration entry;
--- a/policy/tests/objects.h
+++ b/policy/tests/objects.h
@@ -26,7 +26,7 @@
   return MakeObject(messages::ObjectKind::CUSTOMER, name, labels);
 }
 
-//! A key whose secret text is its name.
+//! Returns a key whose secret is its name.
 inline messages::Object Key(const std::string& name,
                             const std::string& customer,
                             const Labels& labels = {}) {
@@ -98,7 +98,7 @@
   return info;
 }
 
-//! Decides for a key's text; an empty one shows no key.
+//! Decides for the key with this secret; an empty text means no key.
 inline AccessDecision Decide(
     const Configuration& configuration,
     const std::string& key_text,
