--- a/admission/include/goldcrest/admission/endpoint_limits.h
+++ b/admission/include/goldcrest/admission/endpoint_limits.h
@@ -3,31 +3,35 @@
 
 namespace goldcrest::admission {
 
-//! Counts the slots and connections of one endpoint against its limits.
+//! Counts the slots and connections in use at one endpoint and enforces their
+//! limits.
 class EndpointLimits {
  public:
   EndpointLimits(int slots, int connections);
 
-  //! New limits, as announced. What is in use above them stays until released.
+  //! Sets the limits that the endpoint announced. Slots and connections in use
+  //! beyond them remain until they are released.
   void SetLimits(int slots, int connections);
 
-  //! Takes a slot. Transactions hold at most all slots but one, so that one is
-  //! left for single statements; an endpoint with one slot shares it.
+  //! Acquires a slot. Returns false when none is free. Transactions hold at
+  //! most all slots but one, so that one is left for single statements; the
+  //! only slot of an endpoint may be held by either.
   bool TryAcquireSlot(bool transaction);
 
-  //! Releases a slot that was taken with the same `transaction`.
+  //! Releases a slot that was acquired with the same `transaction`.
   void ReleaseSlot(bool transaction);
 
-  //! Counts a new connection, in use. False when the maximum is reached.
+  //! Counts a new connection as in use. Returns false when the limit is
+  //! reached.
   bool TryOpenConnection();
 
-  //! Puts an idle connection to use. False when there is none.
+  //! Counts an idle connection as in use. Returns false when there is none.
   bool TryUseIdleConnection();
 
-  //! A connection in use becomes idle.
+  //! Counts a connection that was in use as idle.
   void ReturnConnection();
 
-  //! A connection, idle or in use, was closed.
+  //! Counts a connection, idle or in use, as closed.
   void CloseConnection(bool idle);
 
   int slots() const { return slots_; }
--- a/admission/include/goldcrest/admission/fair_queue.h
+++ b/admission/include/goldcrest/admission/fair_queue.h
@@ -17,33 +17,35 @@
 
 namespace goldcrest::admission {
 
-//! Fair queue by customer. Weights are relative: a customer with twice the
-//! weight gets twice the tickets while both have some. A customer that becomes
-//! active may have a few tickets served early (four), however long it was idle:
-//! idle time gains no further credit.
+//! Queue that is fair among customers. Weights are relative: a customer with
+//! twice the weight of another has twice as many tickets served while both have
+//! queued tickets. A customer that becomes active may have four tickets served
+//! ahead of its share, however long it was idle: idle time earns no more
+//! credit.
 //!
-//! A weighted round robin in which the turns of a round are interleaved: a
-//! ticket that is served moves its customer back by 1 / weight rounds, and the
-//! customer that is least far ahead is next (start-time fair queueing). Plain
-//! deficit round robin serves the whole quantum of a large customer in a row,
-//! and a small one waits for it.
+//! Implements start-time fair queueing: serving a ticket advances its
+//! customer's start time by 1 / weight, and the customer with the lowest start
+//! time is served next. Plain deficit round robin would serve the whole quantum
+//! of a large customer in a row, and small customers would wait for it.
 //!
 //! All operations but RemoveIf() take O(log n). Not thread-safe.
 class FairQueue {
  public:
-  //! Bound of the tickets that one customer may have in the queue.
+  //! `max_per_customer` bounds the queued tickets of one customer.
   explicit FairQueue(std::size_t max_per_customer);
 
-  //! False when the customer's bound is reached or the id is queued already.
+  //! Returns false when the customer's bound is reached or the id is already
+  //! queued.
   bool Push(Time now, Ticket ticket);
 
-  //! The next ticket whose deadline has not passed. Tickets past their deadline
-  //! are kept for Expire().
+  //! Removes and returns the next ticket whose deadline has not passed. Tickets
+  //! past their deadline are kept for Expire().
   std::optional<Ticket> Pop(Time now);
 
   //! Removes and returns the tickets whose deadline has passed, by deadline.
   std::vector<Ticket> Expire(Time now);
 
+  //! Returns false when the id is not queued.
   bool Remove(std::uint64_t id);
 
   //! Removes and returns the tickets for which `predicate` holds, by id. Takes
@@ -51,49 +53,53 @@
   std::vector<Ticket> RemoveIf(
       const std::function<bool(const Ticket&)>& predicate);
 
-  //! When Expire() next has something to return; kNever when empty.
+  //! Returns the time from which Expire() returns a ticket; kNever when empty.
   Time NextDeadline() const;
 
-  //! Queued tickets, without those kept for Expire().
+  //! Number of queued tickets, without those kept for Expire().
   std::size_t size() const { return by_id_.size(); }
   bool empty() const { return by_id_.empty(); }
 
  private:
-  // Rounds in units of 2^-64. 128 bits hold more rounds than can be served.
-  using Round = __int128;
+  // Virtual time in units of 2^-64. A ticket of a customer with weight 1 takes
+  // 2^64 units; 128 bits hold more of them than can be served.
+  using VirtualTime = __int128;
 
   struct Flow {
     std::list<Ticket> tickets;
     std::int64_t weight = 1;
-    Round round = 0;          // at which its next ticket is due
-    std::uint64_t order = 0;  // among flows that are due in the same round
-    Round forget_at = 0;      // round from which an idle flow needs no record
+    VirtualTime start_time = 0;  // of its next ticket
+    std::uint64_t order = 0;     // among flows with the same start time
+    VirtualTime erase_at = 0;    // when an idle flow can be erased
   };
   using FlowMap = std::unordered_map<std::string, Flow>;
-  struct Place {
+  struct TicketLocation {
     FlowMap::iterator flow;
     std::list<Ticket>::iterator ticket;
   };
-  struct Turn {
-    Round round;
+  // Entry of the sets below: by start time while active, by erase_at while
+  // idle.
+  struct FlowEntry {
+    VirtualTime time;
     std::uint64_t order;
     FlowMap::iterator flow;
-    bool operator<(const Turn& other) const {
-      return std::pair(round, order) < std::pair(other.round, other.order);
+    bool operator<(const FlowEntry& other) const {
+      return std::pair(time, order) < std::pair(other.time, other.order);
     }
   };
 
-  Ticket Take(std::uint64_t id);
+  Ticket RemoveTicket(std::uint64_t id);
   void MoveExpired(Time now);
-  void ForgetIdleFlows();
+  void EraseIdleFlows();
 
   std::size_t max_per_customer_;
   std::uint64_t last_order_ = 0;
-  Round round_ = 0;  // latest round of a ticket served
-  FlowMap flows_;    // those with tickets, and idle ones ahead of round_
-  std::set<Turn> active_;
-  std::set<Turn> idle_;
-  std::unordered_map<std::uint64_t, Place> by_id_;
+  VirtualTime virtual_time_ = 0;  // highest start time of a served ticket
+  // Flows with tickets, and idle flows ahead of virtual_time_.
+  FlowMap flows_;
+  std::set<FlowEntry> active_;
+  std::set<FlowEntry> idle_;
+  std::unordered_map<std::uint64_t, TicketLocation> by_id_;
   std::set<std::pair<Time, std::uint64_t>> by_deadline_;
   std::vector<Ticket> expired_;  // for the next Expire()
 };
--- a/admission/include/goldcrest/admission/ticket.h
+++ b/admission/include/goldcrest/admission/ticket.h
@@ -8,12 +8,12 @@
 
 namespace goldcrest::admission {
 
-//! A request that waits for a slot.
+//! A request that waits in a queue for a slot of an endpoint.
 struct Ticket {
   std::uint64_t id = 0;
   std::string customer;
-  std::int64_t weight =
-      1;  //!< Relative to that of other customers; at least 1.
+  //! Weight of the customer, relative to that of others; at least 1.
+  std::int64_t weight = 1;
   Time deadline = kNever;
 
   bool operator==(const Ticket&) const = default;
--- a/admission/src/fair_queue.cc
+++ b/admission/src/fair_queue.cc
@@ -6,13 +6,15 @@
 namespace goldcrest::admission {
 namespace {
 
-// One round in the unit of FairQueue::Round.
-constexpr __int128 kOneRound = static_cast<__int128>(1) << 64;
+// Virtual time that a ticket of a customer with weight 1 takes, in the unit of
+// FairQueue::VirtualTime.
+constexpr __int128 kTicketCost = static_cast<__int128>(1) << 64;
 
-// Tickets that a customer may be ahead of its part before it has to wait for
-// the others. Requests within a rate still come in small bursts: with 0, their
-// p99 wait was 4 to 6 times as long as soon as another customer was backlogged.
-constexpr std::int64_t kAllowance = 4;
+// Number of tickets that a customer may have served ahead of its share before
+// it waits for the others. Requests within a rate still arrive in small bursts:
+// with 0, their p99 wait was 4 to 6 times as long as soon as another customer
+// was backlogged.
+constexpr std::int64_t kMaxTicketsAhead = 4;
 
 }  // namespace
 
@@ -31,16 +33,17 @@
   }
   state.weight = std::max<std::int64_t>(ticket.weight, 1);
   if (state.tickets.empty()) {
-    idle_.erase({state.forget_at, state.order, flow});
-    const Round earliest = round_ - kAllowance * kOneRound / state.weight;
-    state.round = added ? earliest : std::max(state.round, earliest);
+    idle_.erase({state.erase_at, state.order, flow});
+    const VirtualTime earliest =
+        virtual_time_ - kMaxTicketsAhead * kTicketCost / state.weight;
+    state.start_time = added ? earliest : std::max(state.start_time, earliest);
     state.order = ++last_order_;
-    active_.insert({state.round, state.order, flow});
+    active_.insert({state.start_time, state.order, flow});
   }
   by_deadline_.emplace(ticket.deadline, ticket.id);
   const std::uint64_t id = ticket.id;
   state.tickets.push_back(std::move(ticket));
-  by_id_.emplace(id, Place{flow, std::prev(state.tickets.end())});
+  by_id_.emplace(id, TicketLocation{flow, std::prev(state.tickets.end())});
   return true;
 }
 
@@ -49,20 +52,20 @@
   if (active_.empty()) {
     return std::nullopt;
   }
-  const Turn turn = *active_.begin();
-  Flow& state = turn.flow->second;
+  const FlowEntry next = *active_.begin();
+  Flow& state = next.flow->second;
   active_.erase(active_.begin());
-  round_ = std::max(round_, turn.round);
-  state.round += kOneRound / state.weight;
+  virtual_time_ = std::max(virtual_time_, next.time);
+  state.start_time += kTicketCost / state.weight;
   state.order = ++last_order_;
-  active_.insert({state.round, state.order, turn.flow});
-  Ticket ticket = Take(state.tickets.front().id);
+  active_.insert({state.start_time, state.order, next.flow});
+  Ticket ticket = RemoveTicket(state.tickets.front().id);
   if (active_.empty()) {
-    // Nobody waits, so nobody is ahead of the others. Those that used their
-    // allowance last don't get it back at once.
-    round_ = std::max(round_, state.round);
+    // The queue is empty, so no customer is ahead of the others. Customers that
+    // have just used their allowance don't regain it at once.
+    virtual_time_ = std::max(virtual_time_, state.start_time);
   }
-  ForgetIdleFlows();
+  EraseIdleFlows();
   return ticket;
 }
 
@@ -75,16 +78,16 @@
   if (!by_id_.contains(id)) {
     return false;
   }
-  Take(id);
-  ForgetIdleFlows();
+  RemoveTicket(id);
+  EraseIdleFlows();
   return true;
 }
 
 std::vector<Ticket> FairQueue::RemoveIf(
     const std::function<bool(const Ticket&)>& predicate) {
   std::vector<std::uint64_t> ids;
-  for (const auto& [id, place] : by_id_) {
-    if (predicate(*place.ticket)) {
+  for (const auto& [id, location] : by_id_) {
+    if (predicate(*location.ticket)) {
       ids.push_back(id);
     }
   }
@@ -92,9 +95,9 @@
   std::vector<Ticket> removed;
   removed.reserve(ids.size());
   for (const std::uint64_t id : ids) {
-    removed.push_back(Take(id));
+    removed.push_back(RemoveTicket(id));
   }
-  ForgetIdleFlows();
+  EraseIdleFlows();
   return removed;
 }
 
@@ -105,33 +108,35 @@
   return by_deadline_.empty() ? kNever : by_deadline_.begin()->first;
 }
 
-// Takes a queued ticket out. Its customer's next round stays as it is.
-Ticket FairQueue::Take(std::uint64_t id) {
+// Removes a queued ticket. Its customer's start time does not change.
+Ticket FairQueue::RemoveTicket(std::uint64_t id) {
   const auto found = by_id_.find(id);
-  const Place place = found->second;
+  const TicketLocation location = found->second;
   by_id_.erase(found);
-  Ticket ticket = std::move(*place.ticket);
+  Ticket ticket = std::move(*location.ticket);
   by_deadline_.erase({ticket.deadline, id});
-  Flow& state = place.flow->second;
-  state.tickets.erase(place.ticket);
+  Flow& state = location.flow->second;
+  state.tickets.erase(location.ticket);
   if (state.tickets.empty()) {
-    active_.erase({state.round, state.order, place.flow});
-    state.forget_at = state.round + kAllowance * kOneRound / state.weight;
-    idle_.insert({state.forget_at, state.order, place.flow});
+    active_.erase({state.start_time, state.order, location.flow});
+    state.erase_at =
+        state.start_time + kMaxTicketsAhead * kTicketCost / state.weight;
+    idle_.insert({state.erase_at, state.order, location.flow});
   }
   return ticket;
 }
 
 void FairQueue::MoveExpired(Time now) {
   while (!by_deadline_.empty() && by_deadline_.begin()->first <= now) {
-    expired_.push_back(Take(by_deadline_.begin()->second));
+    expired_.push_back(RemoveTicket(by_deadline_.begin()->second));
   }
-  ForgetIdleFlows();
+  EraseIdleFlows();
 }
 
-// An idle customer needs no record once it has its whole allowance again.
-void FairQueue::ForgetIdleFlows() {
-  while (!idle_.empty() && idle_.begin()->round <= round_) {
+// The record of an idle customer is not needed once its whole allowance is
+// available again.
+void FairQueue::EraseIdleFlows() {
+  while (!idle_.empty() && idle_.begin()->time <= virtual_time_) {
     flows_.erase(idle_.begin()->flow);
     idle_.erase(idle_.begin());
   }
--- a/admission/tests/endpoint_limits_test.cc
+++ b/admission/tests/endpoint_limits_test.cc
@@ -4,7 +4,7 @@
 
 namespace goldcrest::admission {
 
-// Guards against transactions that stop all single statements of an endpoint.
+// Guards against transactions that block all single statements of an endpoint.
 TEST_CASE("Transactions leave one slot to single statements", "[admission]") {
   EndpointLimits limits(3, 4);
   CHECK(limits.TryAcquireSlot(true));
--- a/admission/tests/fair_queue_test.cc
+++ b/admission/tests/fair_queue_test.cc
@@ -37,15 +37,15 @@
     REQUIRE(queue.Push(kStart, MakeTicket(id + 1, "two", 2)));
     REQUIRE(queue.Push(kStart, MakeTicket(id + 2, "three", 3)));
   }
-  // Each has four turns early, then the weights count.
+  // Each customer has four tickets served early, then the weights apply.
   CHECK(Serve(queue, 12) ==
         std::map<std::string, int>{{"one", 4}, {"two", 4}, {"three", 4}});
   CHECK(Serve(queue, 300) ==
         std::map<std::string, int>{{"one", 50}, {"two", 100}, {"three", 150}});
 }
 
-// Guards against a customer that saves up turns while it has no requests, and
-// against one that jumps the queue by having one request at a time.
+// Guards against a customer that earns credit while it is idle, and against one
+// that overtakes others by sending one request at a time.
 TEST_CASE("A customer that was idle gains its fixed allowance and no more",
           "[admission]") {
   FairQueue queue(1000);
@@ -58,12 +58,12 @@
     while (id < 500) {
       queue.Push(kStart, MakeTicket(++id, "late"));
     }
-    // Four turns early, then one of two.
+    // Four tickets are served early, then every second one.
     CHECK(Serve(queue, 100)["late"] == 52);
   }
   SECTION("by sending one request as soon as the last is served") {
     int served = 0;
-    for (int turn = 0; turn < 100; ++turn) {
+    for (int round = 0; round < 100; ++round) {
       queue.Push(kStart, MakeTicket(1000, "single"));
       served += Serve(queue, 1)["single"];
     }
@@ -71,8 +71,7 @@
   }
 }
 
-TEST_CASE("A customer's bound refuses its tickets and nobody else's",
-          "[admission]") {
+TEST_CASE("A customer's bound applies to its own tickets only", "[admission]") {
   FairQueue queue(2);
   CHECK(queue.Push(kStart, MakeTicket(1, "large")));
   CHECK(queue.Push(kStart, MakeTicket(2, "large")));
@@ -82,7 +81,7 @@
   CHECK(queue.size() == 3);
 }
 
-// Guards against serving a request whose caller was told that it did not run.
+// Guards against serving a request that was already reported as not run.
 TEST_CASE("A ticket past its deadline is expired and never served",
           "[admission]") {
   FairQueue queue(10);
