--- a/coordinator/include/goldcrest/coordinator/endpoint_call.h
+++ b/coordinator/include/goldcrest/coordinator/endpoint_call.h
@@ -13,7 +13,7 @@
   kStatus,
   kPromote,
   kFollow,
-  kOutcome,  //!< Asks whether a request id is in the endpoint's log.
+  kOutcome,  //!< Looks up a request id in the endpoint's log.
 };
 
 enum class StatementKind : std::uint8_t {
@@ -24,8 +24,8 @@
   kRollback,
 };
 
-//! One call to an endpoint. `id` is unique within the calling instance and is
-//! echoed by the endpoint, so that a crossed answer is recognised.
+//! One call to an endpoint. `id` is unique within the calling instance. The
+//! endpoint echoes it, so that an answer to another call can be detected.
 struct EndpointCall {
   std::uint64_t id = 0;
   std::string endpoint;
@@ -34,9 +34,9 @@
   std::int64_t term = 0;
   std::string statement;
   std::string request_id;
-  std::string transaction;  //!< The endpoint's own name of the transaction.
-  std::uint64_t pin = 0;    //!< Not 0: use the connection reserved by it.
-  std::string primary;      //!< kFollow: endpoint to follow, and its address.
+  std::string transaction;  //!< Transaction id that the endpoint assigned.
+  std::uint64_t pin = 0;    //!< Reserved connection to use; 0: any.
+  std::string primary;      //!< kFollow: endpoint to replicate from.
   std::string primary_host;
   int primary_port = 0;
   Time deadline = kNever;
@@ -44,8 +44,8 @@
 
 enum class AnswerStatus : std::uint8_t {
   kDone,
-  kFailed,  //!< It ran, reports an error and changed nothing.
-  kNotRun,  //!< The endpoint states that it did not run the statement.
+  kFailed,  //!< The statement ran with an error and changed nothing.
+  kNotRun,  //!< The endpoint reports that it did not run the statement.
 };
 
 enum class NotRunReason : std::uint8_t {
@@ -56,8 +56,8 @@
   kOther,
 };
 
-//! `term` is the newest term the endpoint has been told; `log_term` and
-//! `position` are those of the last entry in its log.
+//! `term` is the newest term known to the endpoint; `log_term` and `position`
+//! are those of the last entry in its log.
 struct EndpointAnswer {
   std::uint64_t call_id = 0;
   std::string endpoint;
@@ -74,7 +74,7 @@
 enum class Delivery : std::uint8_t {
   kAnswered,
   kNotSent,  //!< No byte of the call left this instance.
-  kUnknown,  //!< It may have arrived; no whole answer came.
+  kUnknown,  //!< The call may have arrived; no complete answer came back.
 };
 
 struct CallResult {
--- a/coordinator/include/goldcrest/coordinator/group_coordinator.h
+++ b/coordinator/include/goldcrest/coordinator/group_coordinator.h
@@ -28,35 +28,40 @@
   Duration probe_interval = std::chrono::milliseconds(100);
   //! Probe interval of replicas while a write waits for them.
   Duration busy_probe_interval = std::chrono::milliseconds(10);
-  //! An endpoint that has not answered for this long has failed.
+  //! An endpoint that has not answered for this long counts as failed.
   Duration member_timeout = std::chrono::milliseconds(500);
   Duration probe_timeout = std::chrono::milliseconds(400);
+  //! The primary is replaced if no live replica has made progress for this long
+  //! while writes wait for replication.
   Duration isolation_timeout = std::chrono::seconds(1);
-  //! Longest isolation timeout after repeated replacements. Replicas that
-  //! are slow by more than the timeout look isolated while they catch up.
+  //! Upper bound of the isolation timeout, which doubles with each replacement.
+  //! Without the backoff, replicas that lag by more than the timeout would look
+  //! isolated again while they catch up.
   Duration max_isolation_timeout = std::chrono::seconds(30);
   Duration promote_timeout = std::chrono::milliseconds(500);
-  //! A read goes to the primary when no replica could serve it by then.
-  Duration replica_wait = std::chrono::milliseconds(50);
-  //! New writes are refused while one has waited this long for replicas.
+  //! A read goes to the primary if no replica can serve it within this time.
+  Duration max_replica_wait = std::chrono::milliseconds(50);
+  //! New writes are refused while an earlier write has waited this long for
+  //! replication to a majority.
   Duration max_unreplicated_age = std::chrono::seconds(2);
   Duration transaction_limit = std::chrono::seconds(10);
   Duration transaction_idle_limit = std::chrono::seconds(3);
 };
 
-//! Questions that the coordinator asks the configuration each time it sends,
-//! so that a change takes effect on requests that wait.
+//! Callbacks into the configuration and the instance. The coordinator evaluates
+//! the configuration before each send, so that changes apply to queued requests
+//! too.
 struct CoordinatorHooks {
-  //! True while the key exists and belongs to the customer. An empty key is
-  //! that of an open route.
+  //! True while the key exists and belongs to the customer. The key name is
+  //! empty on open routes, which need no key.
   std::function<bool(const std::string& key_name, const std::string& customer)>
       caller_in_force;
   std::function<bool(const std::string& rule, const messages::EndpointInfo&)>
       endpoint_allowed;
   std::function<bool(const messages::EndpointInfo&)> endpoint_leaving;
-  //! Numbers for calls and pins, unique within the instance.
+  //! Ids of calls and reserved connections, unique within the instance.
   std::function<std::uint64_t()> next_call_id;
-  //! Text that can't be guessed.
+  //! Unguessable name of a new transaction.
   std::function<std::string()> random_name;
 };
 
@@ -65,9 +70,12 @@
   messages::ForwardResponse response;
 };
 
-//! What to do after a call into the coordinator, in this order.
+//! Actions that the caller performs after a call into the coordinator, in this
+//! order.
 struct CoordinatorEffects {
   std::vector<EndpointCall> calls;
+  //! Endpoint and pin of reserved connections to close or to return to the
+  //! pool.
   std::vector<std::pair<std::string, std::uint64_t>> closed_pins;
   std::vector<std::pair<std::string, std::uint64_t>> released_pins;
   std::vector<CoordinatorAnswer> answers;
@@ -75,16 +83,17 @@
   std::vector<messages::JournalEntry> journal;
 };
 
-//! Coordinates one database group under a lease from control. All statements of
-//! the group pass here; see docs/design.md 6.1 to 6.7. Not thread-safe.
+//! Coordinates one database group under a lease from control. Queues, routes
+//! and retries all statements of the group and replaces its primary when it
+//! fails; see docs/design.md 6.1 to 6.7. Not thread-safe.
 class GroupCoordinator {
  public:
   enum class Phase : std::uint8_t {
-    kCollecting,  //!< Asks members for their positions.
-    kProposing,   //!< Waits for control to log the new term.
-    kPromoting,   //!< Waits for the new primary's answer.
+    kCollecting,  //!< Waits for members to report their log positions.
+    kProposing,   //!< Waits for control to log the new term and primary.
+    kPromoting,   //!< Waits for the new primary to confirm its promotion.
     kServing,
-    kStopped,  //!< Lease lapsed or given up; never serves again.
+    kStopped,  //!< Lease expired or handed back; never serves again.
   };
 
   GroupCoordinator(CoordinatorOptions options,
@@ -93,16 +102,16 @@
                    Time lease_until,
                    Time now);
 
-  //! `endpoints` are those of this group.
+  //! Replaces the members of the group with `endpoints`.
   void SetEndpoints(const std::vector<messages::EndpointInfo>& endpoints,
                     Time now);
   void ExtendLease(Time until);
 
-  //! Takes the logged state of the group; stops when another instance
-  //! coordinates it or the epoch moved.
+  //! Applies the group state that control has logged. Stops if another instance
+  //! coordinates the group or the coordinator epoch has changed.
   CoordinatorEffects OnGroupState(const messages::GroupState& state, Time now);
 
-  //! Control refused or could not log the proposal.
+  //! Handles a proposal that control refused or could not log.
   CoordinatorEffects OnProposalRefused(Time now);
 
   CoordinatorEffects OnRequest(const std::string& instance,
@@ -111,18 +120,19 @@
   CoordinatorEffects OnCallResult(std::uint64_t call_id,
                                   const CallResult& result,
                                   Time now);
-  //! Keys, access rules or labels may have changed: ends transactions whose key
-  //! was withdrawn and takes leaving endpoints out of use.
+  //! Handles a change of keys, access rules or labels: ends transactions whose
+  //! key was withdrawn and stops using leaving endpoints.
   CoordinatorEffects OnPolicyChange(Time now);
 
-  //! Call each 10 ms: probes, timeouts, lease.
+  //! Sends probes and checks timeouts and the lease. Call every 10 ms.
   CoordinatorEffects Tick(Time now);
 
-  //! For a planned stop: takes no new transaction, and once none is open no new
-  //! request; what runs may end.
+  //! Starts a planned stop. Refuses new transactions, and any new request once
+  //! no transaction is open. Running requests may finish.
   void BeginDrain() { draining_ = true; }
   bool draining() const { return draining_; }
-  //! True when nothing runs and the lease may be handed back.
+  //! True if no request or transaction is open, so that the lease may be handed
+  //! back.
   bool IsIdle() const;
   CoordinatorEffects Stop(Time now, const std::string& cause);
 
@@ -152,7 +162,7 @@
     bool holds_slot = false;
   };
 
-  // Requests and transactions: group_coordinator.cc.
+  // Queueing of requests and transactions; in group_coordinator.cc.
   void Enqueue(Request& request, Time now);
   void Push(admission::FairQueue& queue, const Request& request, Time now);
   void BeginTransaction(Request& request, Time now);
@@ -160,11 +170,11 @@
   void EndTransaction(std::uint64_t pin, bool close);
   void Answer(std::uint64_t request_id, messages::ForwardResponse response);
   void Refuse(std::uint64_t request_id, ResultCode code);
-  void Expire(Time now);
+  void RequeueAndExpire(Time now);
   void CheckReplication(Time now);
   void CheckTransactions(Time now);
 
-  // What is sent next: group_coordinator_dispatch.cc.
+  // Scheduling and sending of requests; in group_coordinator_dispatch.cc.
   void Dispatch(Time now);
   void DispatchReads(Time now);
   void DispatchPrimary(Time now);
@@ -177,44 +187,46 @@
             bool holds_slot,
             Time now);
 
-  // Results of calls: group_coordinator_calls.cc.
+  // Handling of call results; in group_coordinator_calls.cc.
   void OnRequestResult(const Call& call, const CallResult& result, Time now);
   void OnRequestAnswered(Request& request,
                          const EndpointAnswer& answer,
                          Time now);
   void OnDone(Request& request, const EndpointAnswer& answer, Time now);
   void OnNotRun(Request& request, Time now);
-  void OnLost(Request& request, Time now);
+  void OnAnswerLost(Request& request, Time now);
   void AskOutcome(Request& request, Time now);
   void OnOutcome(const Call& call, const CallResult& result, Time now);
   void RetryLater(Request& request, Time now);
 
-  // The group's primary: group_coordinator_primary.cc.
+  // Monitoring and replacement of the primary; in
+  // group_coordinator_primary.cc.
   void OnProbeResult(const Call& call, const CallResult& result, Time now);
   void OnPromoteResult(const CallResult& result, Time now);
-  // Unlike the public functions of this kind they leave the effects in place:
-  // a caller that dropped them would lose probes that count as sent.
+  // Unlike OnProposalRefused() and Stop(), these two functions leave their
+  // effects in effects_: a caller that discarded returned effects would lose
+  // probes that are already marked as in flight.
   void GiveUpProposal(Time now);
   void StopServing(Time now, const std::string& cause);
   void SendProbes(Time now);
   void ProbeReplicasNow(Time now);
   void CheckPrimary(Time now);
-  void Collect(Time now);
+  void ProposePrimaryIfReady(Time now);
   void StartReplacement(const std::string& cause,
                         const std::string& excluded,
                         Time now);
-  void ReleaseOldTerm(Time now);
+  void AbandonWorkOfOldTerm(Time now);
   void Promote(Time now);
-  void FollowPrimary(Time now);
+  void SendFollowCalls(Time now);
 
   EndpointCall& NewCall(CallKind kind,
                         const std::string& endpoint,
                         EndpointOperation operation,
                         Time now,
                         Time deadline);
-  void Note(const std::string& kind,
-            const std::string& cause,
-            std::map<std::string, std::string> inputs);
+  void AddJournalEntry(const std::string& kind,
+                       const std::string& cause,
+                       std::map<std::string, std::string> inputs);
   bool IsLeaving(const std::string& endpoint) const;
   bool MayUse(const Request& request, const Member& member) const;
   bool HasLease(Time now) const {
@@ -236,22 +248,22 @@
   TransactionTable transactions_;
   std::map<std::uint64_t, Call> calls_;
 
-  admission::FairQueue read_queue_;           // reads that a replica may serve
-  admission::FairQueue primary_queue_;        // writes and reads of fresh data
-  admission::FairQueue begin_queue_;          // transactions
-  std::deque<std::uint64_t> deferred_reads_;  // wait for a replica
-  std::multimap<Time, std::uint64_t> retries_;
-  std::set<std::uint64_t> unreplicated_;  // writes that wait for replicas
-  int primary_turn_ = 0;                  // which queue the primary serves next
+  admission::FairQueue read_queue_;             // reads that replicas may serve
+  admission::FairQueue primary_queue_;          // writes, reads for the primary
+  admission::FairQueue begin_queue_;            // transactions to begin
+  std::deque<std::uint64_t> deferred_reads_;    // ids; reads awaiting a replica
+  std::multimap<Time, std::uint64_t> retries_;  // request ids by retry time
+  std::set<std::uint64_t> unreplicated_;  // ids of writes awaiting replication
+  int last_primary_queue_ = 0;            // index of the queue served last
 
   std::string replacement_cause_;
   std::string excluded_primary_;
-  Time collect_until_;            // wait no longer for silent members
-  Time phase_deadline_ = kNever;  // of kProposing
-  Time propose_after_;            // pause after a refused proposal
+  Time collect_deadline_;         // end of the wait for member reports
+  Time phase_deadline_ = kNever;  // end of kProposing
+  Time next_proposal_at_;         // earliest time of the next proposal
   Duration isolation_timeout_;
-  Time isolation_timeout_reset_;  // back to the shortest timeout by then
-  std::int64_t written_ = 0;      // highest position written in this term
+  Time isolation_timeout_reset_;            // when to undo the backoff
+  std::int64_t last_written_position_ = 0;  // in the current term
   std::uint64_t replica_reads_ = 0;
   std::uint64_t primary_reads_ = 0;
   CoordinatorEffects effects_;
--- a/coordinator/include/goldcrest/coordinator/member_table.h
+++ b/coordinator/include/goldcrest/coordinator/member_table.h
@@ -13,15 +13,15 @@
 
 namespace goldcrest::coordinator {
 
-//! What the coordinator knows of one endpoint of its group.
+//! State of one endpoint of the group, as known to the coordinator.
 struct Member {
   messages::EndpointInfo info;
   std::int64_t term = 0;
   std::int64_t log_term = 0;
   std::int64_t position = 0;
   std::optional<Time> last_answer;
-  Time last_progress;  //!< Last time its position changed or it was
-                       //!< seen level with the primary.
+  Time last_progress;  //!< Last time its position changed or it had the
+                       //!< whole log of the primary.
   Time next_probe;
   bool probe_in_flight = false;
   bool follow_in_flight = false;
@@ -29,24 +29,24 @@
   int transactions = 0;  //!< Slots held by transactions.
 };
 
-//! The endpoints of one group and what they reported. Holds the rules for
-//! majorities and promotion; it sends nothing itself.
+//! The endpoints of one group with their last reports. Implements the rules for
+//! majorities and promotion; does no I/O.
 class MemberTable {
  public:
-  //! Adds, changes and removes members so that they match `endpoints`.
+  //! Adds, updates and removes members to match `endpoints`.
   void SetEndpoints(const std::vector<messages::EndpointInfo>& endpoints,
                     Time now);
 
-  //! Records an answer of any kind. Reports that go back in (log_term,
-  //! position) are taken too: an endpoint truncates its log when it follows a
-  //! new primary.
+  //! Records the log state that an endpoint reported in any answer. (log_term,
+  //! position) may decrease, because an endpoint truncates its log when it
+  //! follows a new primary.
   void OnReport(const std::string& endpoint,
                 std::int64_t term,
                 std::int64_t log_term,
                 std::int64_t position,
                 Time now);
 
-  //! The endpoint answered without saying where its log ends.
+  //! Records an answer that holds no log position.
   void OnAlive(const std::string& endpoint, Time now);
 
   Member* Find(const std::string& endpoint);
@@ -54,20 +54,21 @@
   std::map<std::string, Member>& members() { return members_; }
   const std::map<std::string, Member>& members() const { return members_; }
 
-  //! Members that must hold a write before it is acknowledged.
+  //! Number of members that must hold a write before it is acknowledged.
   std::size_t Majority() const { return members_.size() / 2 + 1; }
 
-  //! True when a majority of members, the primary included, holds the entry of
-  //! `term` at `position`. Only members whose last entry is of that very term
-  //! count: an equal position of another term may be another write.
+  //! True if a majority of members, including the primary, holds the entry of
+  //! `term` at `position`. Only members whose last entry has the same term
+  //! count, because the same position of another term may be a different write.
   bool MajorityHolds(std::int64_t term, std::int64_t position) const;
 
-  //! The member to promote: the highest (log term, position) among those that
-  //! answered within `timeout`. Nullopt unless enough members answered to be
-  //! sure that the chosen one holds every write a majority held. Of equals
-  //! `preferred` wins, then the lower name; `excluded` is never chosen. A
-  //! member that leaves is chosen only where no other may be, so that its log
-  //! reaches one that stays.
+  //! Returns the member to promote: the one with the highest (log term,
+  //! position) among those that answered within `timeout`. Returns nullopt
+  //! unless enough members answered to guarantee that the chosen member holds
+  //! every write that a majority held. Ties go to `preferred`, then to the
+  //! lower name; `excluded` is never chosen. A leaving member is chosen only if
+  //! no remaining member is eligible, so that its log can replicate to a
+  //! remaining member.
   std::optional<std::string> ChoosePrimary(Time now,
                                            Duration timeout,
                                            const std::string& preferred,
@@ -75,9 +76,9 @@
 
   bool IsAlive(const Member& member, Time now, Duration timeout) const;
 
-  //! True when the primary is ahead of all its replicas that answer, there is
-  //! at least one, and none has made progress for `timeout`. Slow replicas do
-  //! advance and are no sign of isolation.
+  //! True if at least one replica answers and all answering replicas are behind
+  //! the primary and have made no progress for `timeout`. Replicas that are
+  //! slow but advance do not indicate isolation.
   bool PrimaryIsIsolated(Time now, Duration timeout) const;
 
   void SetPrimary(const std::string& endpoint, Time now);
--- a/coordinator/include/goldcrest/coordinator/request_table.h
+++ b/coordinator/include/goldcrest/coordinator/request_table.h
@@ -14,7 +14,8 @@
 
 namespace goldcrest::coordinator {
 
-//! Where an answer goes: the entry that forwarded the request and its id there.
+//! Destination of an answer: the entry instance that forwarded the request and
+//! the id that it uses for the request.
 struct Origin {
   std::string instance;
   std::int64_t id = 0;
@@ -26,7 +27,7 @@
   kAwaitingReplication,
 };
 
-//! One request that the coordinator has not answered yet.
+//! A request that the coordinator has not answered yet.
 struct Request {
   std::uint64_t id = 0;
   messages::ForwardRequest forward;
@@ -34,23 +35,24 @@
   Time arrival;
   Time deadline = kNever;
   RequestState state = RequestState::kQueued;
-  bool may_have_run = false;  //!< A call for it has left, outcome unknown.
-  std::string endpoint;       //!< Of the last call.
-  std::uint64_t call_id = 0;  //!< Of the call in flight.
-  std::int64_t term = 0;      //!< kAwaitingReplication: of the write.
+  bool may_have_run = false;  //!< A call was sent; its outcome is unknown.
+  std::string endpoint;       //!< Endpoint of the last call.
+  std::uint64_t call_id = 0;  //!< Id of the last call.
+  std::int64_t term = 0;      //!< kAwaitingReplication: term of the write.
   std::int64_t position = 0;
   std::string value;
-  std::uint64_t transaction = 0;  //!< Coordinator's transaction; 0: none.
+  std::uint64_t transaction = 0;  //!< Pin of its transaction; 0: none.
 };
 
-//! Requests that run, and the answers of recent requests with a request id, so
-//! that a resend meets the first attempt instead of running again.
+//! Open requests, and the answers of recently finished requests with a request
+//! id. A resent request joins the first attempt or gets its answer instead of
+//! running again.
 class RequestTable {
  public:
   enum class AddResult : std::uint8_t {
     kAdded,
-    kJoined,    //!< The same request is running; its answer goes to both.
-    kFinished,  //!< The same request has its answer.
+    kJoined,    //!< The same request is open; its answer goes to both senders.
+    kFinished,  //!< The same request has been answered.
     kReused,    //!< The request id belongs to a different request.
   };
 
@@ -66,8 +68,9 @@
 
   Request* Find(std::uint64_t id);
 
-  //! Removes the request. `remember` keeps its answer for resends; an answer
-  //! that says "not run" or "unknown" is not kept, so that a resend can run.
+  //! Removes the request. `remember` keeps its answer for resends. The caller
+  //! must not keep the outcomes "not run" and "unknown", so that a resend can
+  //! run.
   void Finish(std::uint64_t id,
               const messages::ForwardResponse& answer,
               bool remember);
@@ -85,7 +88,7 @@
   std::map<std::uint64_t, Request> requests_;
   std::unordered_map<std::string, std::uint64_t> running_by_key_;
   std::unordered_map<std::string, Finished> finished_;
-  std::deque<std::string> finished_order_;
+  std::deque<std::string> finished_keys_by_age_;
 };
 
 }  // namespace goldcrest::coordinator
--- a/coordinator/include/goldcrest/coordinator/transaction_table.h
+++ b/coordinator/include/goldcrest/coordinator/transaction_table.h
@@ -10,18 +10,17 @@
 
 namespace goldcrest::coordinator {
 
-//! An open transaction. It holds one slot and one connection of the primary
-//! until it ends; no other caller's statement uses them.
+//! An open transaction. Until it ends it holds one slot and one connection of
+//! the primary exclusively.
 struct Transaction {
-  std::uint64_t pin = 0;  //!< Name of the reserved connection.
-  std::string name;       //!< What the caller is given; not guessable from
-                          //!< another caller's.
+  std::uint64_t pin = 0;  //!< Id of the reserved connection.
+  std::string name;       //!< Name that the caller gets; unguessable.
   std::string customer;
   std::string key_name;
   std::string rule;
   std::string endpoint;
-  std::string endpoint_transaction;  //!< The endpoint's own name.
-  Time deadline = kNever;            //!< The transaction ends by then.
+  std::string endpoint_transaction;  //!< Id that the endpoint assigned.
+  Time deadline = kNever;            //!< Latest end of the transaction.
   Time idle_deadline = kNever;       //!< Renewed by each statement.
   bool statement_in_flight = false;
 };
@@ -30,17 +29,18 @@
  public:
   Transaction& Add(Transaction transaction);
 
-  //! The transaction `name` if it belongs to this customer and key; nullptr
-  //! otherwise, also when it exists: another caller learns nothing of it.
-  Transaction* FindFor(const std::string& name,
-                       const std::string& customer,
-                       const std::string& key_name);
+  //! Returns the transaction `name` if it belongs to this customer and key,
+  //! else nullptr. Callers can't distinguish another caller's transaction from
+  //! one that does not exist.
+  Transaction* FindForCaller(const std::string& name,
+                             const std::string& customer,
+                             const std::string& key_name);
   Transaction* FindByPin(std::uint64_t pin);
 
   void Remove(std::uint64_t pin);
 
-  //! Pins of transactions past their deadline or idle limit.
-  std::vector<std::uint64_t> Overdue(Time now) const;
+  //! Returns the pins of transactions past their deadline or idle deadline.
+  std::vector<std::uint64_t> ExpiredPins(Time now) const;
 
   const std::map<std::uint64_t, Transaction>& transactions() const {
     return by_pin_;
--- a/coordinator/src/group_coordinator.cc
+++ b/coordinator/src/group_coordinator.cc
@@ -7,7 +7,7 @@
 
 using messages::Operation;
 
-// Requests that one customer may have waiting in one queue of a group.
+// Limit of queued requests per customer in each queue of a group.
 constexpr std::size_t kMaxQueuedPerCustomer = 1'000;
 
 }  // namespace
@@ -25,7 +25,7 @@
       primary_queue_(kMaxQueuedPerCustomer),
       begin_queue_(kMaxQueuedPerCustomer),
       replacement_cause_("new coordinator"),
-      collect_until_(now + options.probe_timeout),
+      collect_deadline_(now + options.probe_timeout),
       isolation_timeout_(options.isolation_timeout) {}
 
 void GroupCoordinator::SetEndpoints(
@@ -132,10 +132,11 @@
 void GroupCoordinator::ContinueTransaction(Request& request, Time now) {
   const messages::ForwardRequest& forward = request.forward;
   const bool is_commit = forward.operation == Operation::COMMIT;
-  Transaction* transaction = transactions_.FindFor(
+  Transaction* transaction = transactions_.FindForCaller(
       forward.transaction, forward.customer, forward.key_name);
   if (transaction == nullptr) {
-    // A resent commit: only the endpoint knows how the first one ended.
+    // The commit may be a resend. Only the endpoint knows the outcome of the
+    // first attempt.
     if (is_commit && !forward.request_id.empty())
       AskOutcome(request, now);
     else
@@ -191,7 +192,7 @@
   Answer(request_id, std::move(response));
 }
 
-void GroupCoordinator::Expire(Time now) {
+void GroupCoordinator::RequeueAndExpire(Time now) {
   while (!retries_.empty() && retries_.begin()->first <= now) {
     const std::uint64_t id = retries_.begin()->second;
     retries_.erase(retries_.begin());
@@ -215,8 +216,8 @@
 }
 
 void GroupCoordinator::CheckReplication(Time now) {
-  // Without the lease a successor may have chosen a primary from positions
-  // that members reported before they got the write.
+  // After the lease has expired, another coordinator may have chosen a primary
+  // from positions that members reported before they received the write.
   if (!HasLease(now))
     return;
   std::vector<std::uint64_t> replicated;
@@ -243,12 +244,12 @@
 }
 
 void GroupCoordinator::CheckTransactions(Time now) {
-  for (const std::uint64_t pin : transactions_.Overdue(now)) {
+  for (const std::uint64_t pin : transactions_.ExpiredPins(now)) {
     const Transaction* transaction = transactions_.FindByPin(pin);
     if (transaction->statement_in_flight)
       continue;
-    Note("transaction_ended", "deadline passed",
-         {{"customer", transaction->customer}});
+    AddJournalEntry("transaction_ended", "deadline passed",
+                    {{"customer", transaction->customer}});
     EndTransaction(pin, true);
   }
 }
@@ -289,9 +290,10 @@
   return effects_.calls.emplace_back(std::move(call));
 }
 
-void GroupCoordinator::Note(const std::string& kind,
-                            const std::string& cause,
-                            std::map<std::string, std::string> inputs) {
+void GroupCoordinator::AddJournalEntry(
+    const std::string& kind,
+    const std::string& cause,
+    std::map<std::string, std::string> inputs) {
   messages::JournalEntry entry;
   entry.kind = kind;
   entry.subject = group();
--- a/coordinator/src/group_coordinator_calls.cc
+++ b/coordinator/src/group_coordinator_calls.cc
@@ -9,8 +9,8 @@
 
 constexpr Duration kRetryDelay = std::chrono::milliseconds(50);
 
-// Longest wait for an endpoint's record of a request id.
-constexpr Duration kOutcomeTimeout = std::chrono::seconds(1);
+// Timeout of a lookup of a request id at an endpoint.
+constexpr Duration kOutcomeCallTimeout = std::chrono::seconds(1);
 
 }  // namespace
 
@@ -18,7 +18,7 @@
                                                   const CallResult& result,
                                                   Time now) {
   const auto it = calls_.find(call_id);
-  // Calls of an earlier term were given up when the primary was replaced.
+  // Calls of an earlier term were abandoned when the primary was replaced.
   if (it == calls_.end())
     return TakeEffects();
   const Call call = it->second;
@@ -69,7 +69,7 @@
       OnNotRun(*request, now);
       break;
     case Delivery::kUnknown:
-      OnLost(*request, now);
+      OnAnswerLost(*request, now);
       break;
   }
 }
@@ -81,7 +81,7 @@
     OnNotRun(request, now);
     return;
   }
-  // The lease is checked now and not only when the statement left: another
+  // The lease was checked before the statement was sent, but another
   // coordinator may have replaced this one while it ran.
   if (!HasLease(now)) {
     const bool writes = request.forward.operation != Operation::READ;
@@ -116,10 +116,11 @@
     EndTransaction(request.transaction, false);
 
   if (changes_data)
-    written_ = std::max(written_, answer.position);
+    last_written_position_ = std::max(last_written_position_, answer.position);
   if (changes_data &&
       request.forward.durability != messages::Durability::PRIMARY) {
-    // The primary's last entry is of its own term: a promotion writes one.
+    // The primary's last entry has the current term, because each promotion
+    // writes an entry.
     members_.OnReport(request.endpoint, term(), term(), answer.position, now);
     request.state = RequestState::kAwaitingReplication;
     request.position = answer.position;
@@ -151,7 +152,7 @@
     RetryLater(request, now);
     return;
   }
-  // The connection is in doubt, so the transaction can't go on.
+  // The state of the connection is unknown, so the transaction can't continue.
   EndTransaction(request.transaction, true);
   request.transaction = 0;
   if (request.forward.operation == Operation::BEGIN_WORK) {
@@ -161,12 +162,12 @@
   Refuse(request.id, ResultCode::kTransactionAborted);
 }
 
-void GroupCoordinator::OnLost(Request& request, Time now) {
+void GroupCoordinator::OnAnswerLost(Request& request, Time now) {
   const messages::ForwardRequest& forward = request.forward;
   const bool has_id = !forward.request_id.empty();
   if (request.transaction != 0) {
-    // Closing the connection makes the endpoint roll back, so a statement
-    // other than commit has no effect.
+    // Closing the connection makes the endpoint roll back, so any lost
+    // statement except a commit has no effect.
     EndTransaction(request.transaction, true);
     request.transaction = 0;
     if (forward.operation == Operation::BEGIN_WORK) {
@@ -182,7 +183,7 @@
     return;
   }
   request.may_have_run = true;
-  // With a request id the endpoint recognises the second attempt.
+  // The endpoint deduplicates requests that have a request id.
   if (forward.operation == Operation::READ || forward.idempotent || has_id)
     RetryLater(request, now);
   else
@@ -209,7 +210,7 @@
   }
   EndpointCall& call =
       NewCall(CallKind::kOutcome, primary(), EndpointOperation::kOutcome, now,
-              std::min(request.deadline, now + kOutcomeTimeout));
+              std::min(request.deadline, now + kOutcomeCallTimeout));
   call.request_id = request.forward.customer + "/" + request.forward.request_id;
   calls_.at(call.id).request = request.id;
   request.state = RequestState::kSent;
@@ -227,8 +228,8 @@
     Refuse(request->id, ResultCode::kOutcomeUnknown);
     return;
   }
-  // An endpoint that does not know the id refuses it from then on, so a commit
-  // that is still on its way can't run either.
+  // After a lookup of an unknown request id the endpoint refuses that id, so a
+  // commit that is still in flight can't run later.
   if (!result.answer.known) {
     Refuse(request->id, ResultCode::kTransactionAborted);
     return;
--- a/coordinator/src/group_coordinator_dispatch.cc
+++ b/coordinator/src/group_coordinator_dispatch.cc
@@ -8,11 +8,11 @@
 
 using messages::Operation;
 
-// A slot of the primary that reads leave free for writes.
-constexpr int kSlotsKeptForWrites = 1;
+// Slots of the primary that reads of the read queue leave free for writes.
+constexpr int kSlotsReservedForWrites = 1;
 
-// Queues that the primary serves in turn: statements and transactions.
-constexpr int kPrimaryQueues = 2;
+// The primary alternates between the queues of statements and of transactions.
+constexpr int kPrimaryQueueCount = 2;
 
 int FreeSlots(const admission::EndpointLimits& limits) {
   return limits.slots() - limits.slots_in_use();
@@ -37,7 +37,7 @@
     bool may_wait = false;
     if (SendToReplica(*request, now, &may_wait))
       continue;
-    if (may_wait && now < request->arrival + options_.replica_wait) {
+    if (may_wait && now < request->arrival + options_.max_replica_wait) {
       deferred_reads_.push_back(id);
       continue;
     }
@@ -76,13 +76,13 @@
   if (limits == limits_.end() || IsLeaving(primary()))
     return;
   int idle_turns = 0;
-  while (FreeSlots(limits->second) > 0 && idle_turns < kPrimaryQueues) {
-    primary_turn_ = (primary_turn_ + 1) % kPrimaryQueues;
+  while (FreeSlots(limits->second) > 0 && idle_turns < kPrimaryQueueCount) {
+    last_primary_queue_ = (last_primary_queue_ + 1) % kPrimaryQueueCount;
     admission::FairQueue& queue =
-        primary_turn_ == 0 ? primary_queue_ : begin_queue_;
+        last_primary_queue_ == 0 ? primary_queue_ : begin_queue_;
     idle_turns = DispatchFrom(queue, now) ? 0 : idle_turns + 1;
   }
-  while (FreeSlots(limits->second) > kSlotsKeptForWrites) {
+  while (FreeSlots(limits->second) > kSlotsReservedForWrites) {
     if (!DispatchFrom(read_queue_, now))
       return;
   }
@@ -158,8 +158,8 @@
       continue;
     if (!members_.IsAlive(member, now, options_.member_timeout))
       continue;
-    // A member of the new term still has the old log until it has pulled from
-    // the new primary, so the term of its last entry counts.
+    // A member that knows the new term has the old log until it has replicated
+    // from the new primary, so the term of its last log entry is used.
     const session::MemberView view{name, member.log_term, member.position,
                                    true};
     if (session::CanServeRead(view, term(), mark, max_age, history_, now) !=
@@ -206,7 +206,7 @@
       break;
   }
   call.statement = forward.statement;
-  // Ids are made unique per customer before the endpoint sees them.
+  // Request ids are unique only per customer, so the customer is prepended.
   if (!forward.request_id.empty())
     call.request_id = forward.customer + "/" + forward.request_id;
   if (request.transaction != 0) {
--- a/coordinator/src/group_coordinator_primary.cc
+++ b/coordinator/src/group_coordinator_primary.cc
@@ -5,9 +5,9 @@
 namespace goldcrest::coordinator {
 namespace {
 
-// Pause after a refusal. Control members that know no leader refuse at once,
-// and each proposal leaves a journal entry.
-constexpr Duration kProposalPause = std::chrono::milliseconds(50);
+// Delay after a refused proposal. Control members without a known leader refuse
+// immediately, and each proposal adds a journal entry.
+constexpr Duration kProposalRetryDelay = std::chrono::milliseconds(50);
 
 }  // namespace
 
@@ -28,7 +28,7 @@
 
 CoordinatorEffects GroupCoordinator::OnProposalRefused(Time now) {
   if (phase_ == Phase::kProposing)
-    propose_after_ = now + kProposalPause;
+    next_proposal_at_ = now + kProposalRetryDelay;
   GiveUpProposal(now);
   return TakeEffects();
 }
@@ -37,7 +37,7 @@
   if (phase_ != Phase::kProposing)
     return;
   phase_ = Phase::kCollecting;
-  collect_until_ = now;
+  collect_deadline_ = now;
 }
 
 CoordinatorEffects GroupCoordinator::OnPolicyChange(Time now) {
@@ -47,8 +47,8 @@
       withdrawn.push_back(pin);
   }
   for (const std::uint64_t pin : withdrawn) {
-    Note("transaction_ended", "key withdrawn",
-         {{"customer", transactions_.FindByPin(pin)->customer}});
+    AddJournalEntry("transaction_ended", "key withdrawn",
+                    {{"customer", transactions_.FindByPin(pin)->customer}});
     EndTransaction(pin, true);
   }
   Dispatch(now);
@@ -63,7 +63,7 @@
   SendProbes(now);
   switch (phase_) {
     case Phase::kCollecting:
-      Collect(now);
+      ProposePrimaryIfReady(now);
       break;
     case Phase::kProposing:
       if (now >= phase_deadline_)
@@ -78,7 +78,7 @@
   }
   CheckReplication(now);
   CheckTransactions(now);
-  Expire(now);
+  RequeueAndExpire(now);
   Dispatch(now);
   return TakeEffects();
 }
@@ -91,7 +91,7 @@
 void GroupCoordinator::StopServing(Time now, const std::string& cause) {
   if (phase_ == Phase::kStopped)
     return;
-  Note("coordinator_stopped", cause, {});
+  AddJournalEntry("coordinator_stopped", cause, {});
   phase_ = Phase::kStopped;
   lease_until_ = std::min(lease_until_, now);
   calls_.clear();
@@ -126,7 +126,8 @@
     return;
   members_.OnReport(call.endpoint, answer.term, answer.log_term,
                     answer.position, now);
-  // The position was read at some time after the probe left.
+  // The endpoint read its position after the probe was sent. Recording the send
+  // time never understates the age of a replica's data.
   if (call.endpoint == primary() && phase_ == Phase::kServing)
     history_.Record(call.sent, answer.position);
 }
@@ -143,7 +144,7 @@
         now + (busy ? options_.busy_probe_interval : options_.probe_interval);
   }
   if (phase_ == Phase::kServing)
-    FollowPrimary(now);
+    SendFollowCalls(now);
 }
 
 void GroupCoordinator::ProbeReplicasNow(Time now) {
@@ -154,7 +155,7 @@
   SendProbes(now);
 }
 
-void GroupCoordinator::FollowPrimary(Time now) {
+void GroupCoordinator::SendFollowCalls(Time now) {
   const Member* leader = members_.Find(primary());
   if (leader == nullptr)
     return;
@@ -186,8 +187,8 @@
   }
   if (now >= isolation_timeout_reset_)
     isolation_timeout_ = options_.isolation_timeout;
-  // Without a write that waits, nothing is lost by keeping the primary, and
-  // replicas with a long lag look the same as replicas that are cut off.
+  // While no write waits for replication, keeping the primary does no harm.
+  // Replicas with a long lag are indistinguishable from disconnected replicas.
   const bool replaceable =
       !unreplicated_.empty() &&
       members_.ChoosePrimary(now, options_.member_timeout, "", primary());
@@ -200,13 +201,14 @@
   }
   if (!IsLeaving(primary()))
     return;
-  // A planned replacement waits until nothing runs on the primary and a
-  // replica has all of its log, so that it cuts no request.
+  // A planned replacement waits until nothing runs on the primary and a replica
+  // has its whole log, so that it interrupts no request.
   const admission::EndpointLimits& limits = limits_.at(primary());
   if (limits.slots_in_use() > 0 || !unreplicated_.empty())
     return;
-  // The last probe of the primary may be older than its last write.
-  const std::int64_t position = std::max(leader->position, written_);
+  // The last probe of the primary may predate its last write.
+  const std::int64_t position =
+      std::max(leader->position, last_written_position_);
   const bool caught_up =
       std::ranges::any_of(members_.members(), [&](const auto& entry) {
         const Member& member = entry.second;
@@ -225,19 +227,20 @@
   replacement_cause_ = cause;
   excluded_primary_ = excluded;
   phase_ = Phase::kCollecting;
-  collect_until_ = now;
-  ReleaseOldTerm(now);
-  Collect(now);
+  collect_deadline_ = now;
+  AbandonWorkOfOldTerm(now);
+  ProposePrimaryIfReady(now);
 }
 
-void GroupCoordinator::ReleaseOldTerm(Time now) {
+void GroupCoordinator::AbandonWorkOfOldTerm(Time now) {
   std::vector<std::uint64_t> lost;
   for (const auto& [id, request] : requests_.requests()) {
     if (request.state == RequestState::kAwaitingReplication ||
         (request.state == RequestState::kSent && request.endpoint == primary()))
       lost.push_back(id);
   }
-  // Answers of the old primary that still come are for nobody.
+  // Abandons all calls to the old primary except probes; their answers are
+  // ignored.
   std::erase_if(calls_, [&](const auto& entry) {
     const Call& call = entry.second;
     const bool outdated =
@@ -250,26 +253,26 @@
     Request* request = requests_.Find(id);
     unreplicated_.erase(id);
     if (request != nullptr)
-      OnLost(*request, now);
+      OnAnswerLost(*request, now);
   }
   while (!transactions_.transactions().empty())
     EndTransaction(transactions_.transactions().begin()->first, true);
 }
 
-void GroupCoordinator::Collect(Time now) {
-  if (now < propose_after_)
+void GroupCoordinator::ProposePrimaryIfReady(Time now) {
+  if (now < next_proposal_at_)
     return;
   const bool all_answered =
       std::ranges::all_of(members_.members(), [&](const auto& entry) {
         return members_.IsAlive(entry.second, now, options_.member_timeout);
       });
-  if (!all_answered && now < collect_until_)
+  if (!all_answered && now < collect_deadline_)
     return;
   const auto chosen = members_.ChoosePrimary(now, options_.member_timeout,
                                              primary(), excluded_primary_);
   if (!chosen) {
-    // The excluded primary may be the only one that holds all writes; if it
-    // answers again, it is better than none.
+    // The excluded primary may be the only member that holds all writes. If it
+    // answers again, it may be chosen.
     excluded_primary_.clear();
     return;
   }
@@ -284,8 +287,9 @@
   effects_.proposals.push_back(proposal);
   phase_ = Phase::kProposing;
   phase_deadline_ = now + options_.promote_timeout;
-  Note("primary_proposed", replacement_cause_,
-       {{"primary", *chosen}, {"position", std::to_string(member.position)}});
+  AddJournalEntry(
+      "primary_proposed", replacement_cause_,
+      {{"primary", *chosen}, {"position", std::to_string(member.position)}});
 }
 
 void GroupCoordinator::Promote(Time now) {
@@ -306,12 +310,13 @@
   members_.OnReport(primary(), answer.term, answer.log_term, answer.position,
                     now);
   members_.SetPrimary(primary(), now);
-  written_ = answer.position;
+  last_written_position_ = answer.position;
   history_ = session::PositionHistory();
   excluded_primary_.clear();
   phase_ = Phase::kServing;
-  Note("primary_serving", replacement_cause_, {{"primary", primary()}});
-  FollowPrimary(now);
+  AddJournalEntry("primary_serving", replacement_cause_,
+                  {{"primary", primary()}});
+  SendFollowCalls(now);
 }
 
 }  // namespace goldcrest::coordinator
--- a/coordinator/src/member_table.cc
+++ b/coordinator/src/member_table.cc
@@ -113,9 +113,9 @@
   if (best == nullptr)
     return std::nullopt;
 
-  // A set of this size shares a member with every majority. A member that is
-  // ahead of the best candidate may hold what the candidate lacks, so it does
-  // not count.
+  // A set of `needed` members intersects every majority. Members ahead of the
+  // best candidate may hold writes that the candidate lacks, so they do not
+  // count.
   const std::size_t needed = members_.size() - Majority() + 1;
   std::size_t not_ahead = 0;
   for (const auto& [name, member] : members_) {
--- a/coordinator/src/request_table.cc
+++ b/coordinator/src/request_table.cc
@@ -8,16 +8,17 @@
 namespace goldcrest::coordinator {
 namespace {
 
-// Answers kept per group. Older resends find their outcome in the endpoint's
-// own record of request ids.
-constexpr std::size_t kMaxFinished = 10'000;
+// Answers kept per group. Resends of older requests are deduplicated by the
+// endpoint, which records request ids itself.
+constexpr std::size_t kMaxFinishedAnswers = 10'000;
 
-// Request ids are a customer's own: two customers may use the same one.
+// Request ids are unique only per customer.
 std::string KeyOf(const messages::ForwardRequest& forward) {
   return forward.customer + '\0' + forward.request_id;
 }
 
-// Two requests under one id are the same if all that decides what runs agrees.
+// Hash of all fields that determine what runs. Requests with the same id and
+// fingerprint are the same request.
 std::string FingerprintOf(const messages::ForwardRequest& forward) {
   std::string text = std::to_string(forward.operation);
   text += '\0';
@@ -86,10 +87,10 @@
     running_by_key_.erase(key);
     if (remember) {
       finished_[key] = Finished{FingerprintOf(forward), answer};
-      finished_order_.push_back(key);
-      if (finished_order_.size() > kMaxFinished) {
-        finished_.erase(finished_order_.front());
-        finished_order_.pop_front();
+      finished_keys_by_age_.push_back(key);
+      if (finished_keys_by_age_.size() > kMaxFinishedAnswers) {
+        finished_.erase(finished_keys_by_age_.front());
+        finished_keys_by_age_.pop_front();
       }
     }
   }
--- a/coordinator/src/transaction_table.cc
+++ b/coordinator/src/transaction_table.cc
@@ -11,9 +11,9 @@
   return stored;
 }
 
-Transaction* TransactionTable::FindFor(const std::string& name,
-                                       const std::string& customer,
-                                       const std::string& key_name) {
+Transaction* TransactionTable::FindForCaller(const std::string& name,
+                                             const std::string& customer,
+                                             const std::string& key_name) {
   const auto it = pin_by_name_.find(name);
   if (it == pin_by_name_.end())
     return nullptr;
@@ -36,7 +36,7 @@
   by_pin_.erase(it);
 }
 
-std::vector<std::uint64_t> TransactionTable::Overdue(Time now) const {
+std::vector<std::uint64_t> TransactionTable::ExpiredPins(Time now) const {
   std::vector<std::uint64_t> pins;
   for (const auto& [pin, transaction] : by_pin_) {
     if (now < transaction.deadline && now < transaction.idle_deadline)
--- a/coordinator/tests/group_coordinator_test.cc
+++ b/coordinator/tests/group_coordinator_test.cc
@@ -10,12 +10,12 @@
 using messages::Operation;
 using std::chrono::milliseconds;
 
-constexpr const char* kEntry = "e4";
+constexpr const char* kEntryInstance = "e4";
 
-// A coordinator of the members a, b and c whose calls the test answers by hand.
-class Bench {
+// A coordinator of the members a, b and c. The test completes its calls.
+class CoordinatorFixture {
  public:
-  Bench() : coordinator_({}, Hooks(), State(), lease_end, now) {
+  CoordinatorFixture() : coordinator_({}, Hooks(), State(), lease_end, now) {
     std::vector<messages::EndpointInfo> members;
     for (const char* name : {"a", "b", "c"}) {
       messages::EndpointInfo info;
@@ -27,20 +27,20 @@
       members.push_back(info);
     }
     coordinator_.SetEndpoints(members, now);
-    Take(coordinator_.Tick(now));
+    RecordEffects(coordinator_.Tick(now));
     AnswerProbes(0, 0);
-    Take(coordinator_.Tick(now));
+    RecordEffects(coordinator_.Tick(now));
     messages::GroupState state = State();
     state.primary = "a";
     state.term = 1;
     state.revision = 2;
-    Take(coordinator_.OnGroupState(state, now));
+    RecordEffects(coordinator_.OnGroupState(state, now));
     AnswerProbes(1, 1);
   }
 
-  std::int64_t Request(Operation::type operation,
-                       const std::string& request_id,
-                       messages::Durability::type durability) {
+  std::int64_t SendRequest(Operation::type operation,
+                           const std::string& request_id,
+                           messages::Durability::type durability) {
     messages::ForwardRequest forward;
     forward.id = ++last_request_;
     forward.group = "bookings";
@@ -53,27 +53,30 @@
     forward.transaction = transaction;
     forward.timeout_ms = 1000;
     forward.durability = durability;
-    Take(coordinator_.OnRequest(kEntry, forward, now));
+    RecordEffects(coordinator_.OnRequest(kEntryInstance, forward, now));
     return last_request_;
   }
-  std::int64_t Write(const std::string& request_id = "") {
-    return Request(Operation::WRITE, request_id,
-                   messages::Durability::MAJORITY);
+  std::int64_t SendWrite(const std::string& request_id = "") {
+    return SendRequest(Operation::WRITE, request_id,
+                       messages::Durability::MAJORITY);
   }
 
-  // The oldest call of this operation that has no result yet.
-  EndpointCall* Open(EndpointOperation operation, const std::string& endpoint) {
+  // Returns the oldest call of this operation that has no result yet.
+  EndpointCall* FindCall(EndpointOperation operation,
+                         const std::string& endpoint) {
     for (EndpointCall& call : calls_) {
       if (call.operation == operation && call.endpoint == endpoint)
         return &call;
     }
     return nullptr;
   }
-  EndpointCall* Statement() { return Open(EndpointOperation::kStatement, "a"); }
-  void Finish(const EndpointCall* call,
-              std::int64_t position,
-              Delivery delivery = Delivery::kAnswered,
-              std::uint64_t id_offset = 0) {
+  EndpointCall* StatementCall() {
+    return FindCall(EndpointOperation::kStatement, "a");
+  }
+  void CompleteCall(const EndpointCall* call,
+                    std::int64_t position,
+                    Delivery delivery = Delivery::kAnswered,
+                    std::uint64_t id_offset = 0) {
     REQUIRE(call != nullptr);
     CallResult result;
     result.delivery = delivery;
@@ -84,14 +87,14 @@
     result.answer.known = true;
     const std::uint64_t id = call->id;
     std::erase_if(calls_, [id](const auto& open) { return open.id == id; });
-    Take(coordinator_.OnCallResult(id, result, now));
+    RecordEffects(coordinator_.OnCallResult(id, result, now));
   }
   void Tick(Duration after) {
     now += after;
-    Take(coordinator_.Tick(now));
+    RecordEffects(coordinator_.Tick(now));
   }
 
-  // The answer to a request; kIncompleteRequest while there is none.
+  // Returns the result of a request; kIncompleteRequest before its answer.
   ResultCode CodeOf(std::int64_t request) const {
     const auto it = answers_.find(request);
     return it == answers_.end() ? ResultCode::kIncompleteRequest
@@ -136,10 +139,10 @@
   void AnswerProbes(std::int64_t term, std::int64_t position) {
     for (const EndpointCall& call : std::vector(calls_)) {
       if (call.operation != EndpointOperation::kStatement && call.term == term)
-        Finish(&call, position);
+        CompleteCall(&call, position);
     }
   }
-  void Take(CoordinatorEffects effects) {
+  void RecordEffects(CoordinatorEffects effects) {
     std::move(effects.calls.begin(), effects.calls.end(),
               std::back_inserter(calls_));
     std::move(effects.closed_pins.begin(), effects.closed_pins.end(),
@@ -160,137 +163,143 @@
 
 TEST_CASE("A coordinator acknowledges nothing once its lease has lapsed",
           "[coordinator][guarantee]") {
-  // Guards against a process that is paused and finds answers before its timer
-  // on waking: a successor may have replaced the primary meanwhile.
-  Bench bench;
-  REQUIRE(bench.coordinator().phase() == GroupCoordinator::Phase::kServing);
+  // Guards against false acknowledgements after a pause of the process: it may
+  // read answers before its timer fires, while another coordinator has already
+  // replaced the primary.
+  CoordinatorFixture fixture;
+  REQUIRE(fixture.coordinator().phase() == GroupCoordinator::Phase::kServing);
 
-  SECTION("when the primary's answer comes") {
-    const auto write =
-        bench.Request(Operation::WRITE, "", messages::Durability::PRIMARY);
-    bench.now = bench.lease_end;
-    bench.Finish(bench.Statement(), 2);
-    CHECK(bench.CodeOf(write) == ResultCode::kOutcomeUnknown);
+  SECTION("when the primary answers") {
+    const auto write = fixture.SendRequest(Operation::WRITE, "",
+                                           messages::Durability::PRIMARY);
+    fixture.now = fixture.lease_end;
+    fixture.CompleteCall(fixture.StatementCall(), 2);
+    CHECK(fixture.CodeOf(write) == ResultCode::kOutcomeUnknown);
   }
   SECTION("when the last replica of a majority reports") {
-    const auto write = bench.Write();
-    bench.Finish(bench.Statement(), 2);
-    const EndpointCall* probe = bench.Open(EndpointOperation::kStatus, "b");
-    bench.now = bench.lease_end;
-    bench.Finish(probe, 2);
-    bench.Tick(milliseconds(10));
-    CHECK(bench.CodeOf(write) == ResultCode::kOutcomeUnknown);
+    const auto write = fixture.SendWrite();
+    fixture.CompleteCall(fixture.StatementCall(), 2);
+    const EndpointCall* probe =
+        fixture.FindCall(EndpointOperation::kStatus, "b");
+    fixture.now = fixture.lease_end;
+    fixture.CompleteCall(probe, 2);
+    fixture.Tick(milliseconds(10));
+    CHECK(fixture.CodeOf(write) == ResultCode::kOutcomeUnknown);
   }
-  SECTION("when the endpoint's record of a commit comes") {
-    bench.transaction = "unknown";
-    const auto commit =
-        bench.Request(Operation::COMMIT, "c1", messages::Durability::PRIMARY);
-    bench.now = bench.lease_end;
-    bench.Finish(bench.Open(EndpointOperation::kOutcome, "a"), 2);
-    CHECK(bench.CodeOf(commit) == ResultCode::kOutcomeUnknown);
+  SECTION("when the endpoint answers a commit lookup") {
+    fixture.transaction = "unknown";
+    const auto commit = fixture.SendRequest(Operation::COMMIT, "c1",
+                                            messages::Durability::PRIMARY);
+    fixture.now = fixture.lease_end;
+    fixture.CompleteCall(fixture.FindCall(EndpointOperation::kOutcome, "a"), 2);
+    CHECK(fixture.CodeOf(commit) == ResultCode::kOutcomeUnknown);
   }
-  SECTION("when a request comes, also one for another epoch before") {
-    bench.epoch = 2;
-    CHECK(bench.CodeOf(bench.Write()) == ResultCode::kCoordinatorMoved);
-    bench.epoch = 1;
-    bench.now = bench.lease_end;
-    CHECK(bench.CodeOf(bench.Write()) == ResultCode::kCoordinatorMoved);
-    CHECK(bench.Statement() == nullptr);
+  SECTION("when a request arrives, as for a request of another epoch") {
+    fixture.epoch = 2;
+    CHECK(fixture.CodeOf(fixture.SendWrite()) == ResultCode::kCoordinatorMoved);
+    fixture.epoch = 1;
+    fixture.now = fixture.lease_end;
+    CHECK(fixture.CodeOf(fixture.SendWrite()) == ResultCode::kCoordinatorMoved);
+    CHECK(fixture.StatementCall() == nullptr);
   }
 }
 
-TEST_CASE("An answer with another call's id answers nothing",
+TEST_CASE("An answer with another call's id is treated as lost",
           "[coordinator][guarantee]") {
-  Bench bench;
+  CoordinatorFixture fixture;
   const auto write =
-      bench.Request(Operation::WRITE, "", messages::Durability::PRIMARY);
-  bench.Finish(bench.Statement(), 2, Delivery::kAnswered, 1);
-  CHECK(bench.CodeOf(write) == ResultCode::kOutcomeUnknown);
+      fixture.SendRequest(Operation::WRITE, "", messages::Durability::PRIMARY);
+  fixture.CompleteCall(fixture.StatementCall(), 2, Delivery::kAnswered, 1);
+  CHECK(fixture.CodeOf(write) == ResultCode::kOutcomeUnknown);
 }
 
-TEST_CASE("A write without an id is sent once", "[coordinator][guarantee]") {
-  // Guards against a second run when the first one's answer is lost early.
-  Bench bench;
-  const auto write = bench.Write();
-  bench.Finish(bench.Statement(), 0, Delivery::kUnknown);
-  bench.Tick(milliseconds(60));
-  CHECK(bench.Statement() == nullptr);
-  CHECK(bench.CodeOf(write) == ResultCode::kOutcomeUnknown);
+TEST_CASE("A write without a request id is sent only once",
+          "[coordinator][guarantee]") {
+  // Guards against running the write twice when the first answer is lost well
+  // before the deadline.
+  CoordinatorFixture fixture;
+  const auto write = fixture.SendWrite();
+  fixture.CompleteCall(fixture.StatementCall(), 0, Delivery::kUnknown);
+  fixture.Tick(milliseconds(60));
+  CHECK(fixture.StatementCall() == nullptr);
+  CHECK(fixture.CodeOf(write) == ResultCode::kOutcomeUnknown);
 }
 
 TEST_CASE("A write that may have run is never refused as not run",
           "[coordinator][guarantee]") {
-  // Guards against the truth about the second sending being given for both.
-  Bench bench;
-  const auto write = bench.Write("w1");
-  bench.Finish(bench.Statement(), 0, Delivery::kUnknown);
-  SECTION("when its key is withdrawn before the second sending") {
-    bench.key_in_force = false;
-    bench.Tick(milliseconds(60));
+  // Guards against reporting the outcome of the second attempt for both: the
+  // first attempt may have run although the second one did not.
+  CoordinatorFixture fixture;
+  const auto write = fixture.SendWrite("w1");
+  fixture.CompleteCall(fixture.StatementCall(), 0, Delivery::kUnknown);
+  SECTION("when its key is withdrawn before the second attempt") {
+    fixture.key_in_force = false;
+    fixture.Tick(milliseconds(60));
   }
   SECTION("when it expires in the queue") {
     for (int i = 0; i < 3; ++i)
-      bench.Write();
-    bench.Tick(milliseconds(60));
-    bench.coordinator().ExtendLease(bench.now + std::chrono::seconds(9));
-    bench.Tick(milliseconds(990));
+      fixture.SendWrite();
+    fixture.Tick(milliseconds(60));
+    fixture.coordinator().ExtendLease(fixture.now + std::chrono::seconds(9));
+    fixture.Tick(milliseconds(990));
   }
-  SECTION("when the second sending comes too late") {
-    bench.Tick(milliseconds(60));
-    bench.now += milliseconds(920);
-    bench.Finish(bench.Statement(), 0, Delivery::kNotSent);
+  SECTION("when the second attempt is not sent and the deadline is near") {
+    fixture.Tick(milliseconds(60));
+    fixture.now += milliseconds(920);
+    fixture.CompleteCall(fixture.StatementCall(), 0, Delivery::kNotSent);
   }
-  SECTION("when the coordinator stops before the second sending") {
-    bench.Tick(std::chrono::seconds(1));
+  SECTION("when the coordinator stops before the second attempt") {
+    fixture.Tick(std::chrono::seconds(1));
   }
-  CHECK(bench.CodeOf(write) == ResultCode::kOutcomeUnknown);
+  CHECK(fixture.CodeOf(write) == ResultCode::kOutcomeUnknown);
 }
 
-TEST_CASE("A transaction is open to its own key, one statement at a time",
+TEST_CASE("A transaction accepts only its own key and one statement at a time",
           "[coordinator][guarantee]") {
-  Bench bench;
-  const auto begin =
-      bench.Request(Operation::BEGIN_WORK, "", messages::Durability::MAJORITY);
-  bench.Finish(bench.Statement(), 1);
-  bench.transaction = bench.answer(begin).transaction;
-  REQUIRE(!bench.transaction.empty());
+  CoordinatorFixture fixture;
+  const auto begin = fixture.SendRequest(Operation::BEGIN_WORK, "",
+                                         messages::Durability::MAJORITY);
+  fixture.CompleteCall(fixture.StatementCall(), 1);
+  fixture.transaction = fixture.answer(begin).transaction;
+  REQUIRE(!fixture.transaction.empty());
 
-  SECTION("not to another key of the same customer") {
-    bench.key = "k-other";
-    CHECK(bench.CodeOf(bench.Write()) == ResultCode::kUnknownTransaction);
+  SECTION("another key of the same customer is refused") {
+    fixture.key = "k-other";
+    CHECK(fixture.CodeOf(fixture.SendWrite()) ==
+          ResultCode::kUnknownTransaction);
   }
-  SECTION("not to a second statement while one runs") {
-    bench.Write();
-    CHECK(bench.CodeOf(bench.Write()) == ResultCode::kInvalidField);
+  SECTION("a second statement is refused while one runs") {
+    fixture.SendWrite();
+    CHECK(fixture.CodeOf(fixture.SendWrite()) == ResultCode::kInvalidField);
   }
-  SECTION("not once its key is withdrawn; its connection is closed") {
-    bench.key_in_force = false;
-    CHECK(bench.CodeOf(bench.Write()) == ResultCode::kKeyWithdrawn);
-    CHECK(bench.closed_pins().size() == 1);
-    CHECK(bench.Statement() == nullptr);
+  SECTION("a withdrawn key is refused and the connection closed") {
+    fixture.key_in_force = false;
+    CHECK(fixture.CodeOf(fixture.SendWrite()) == ResultCode::kKeyWithdrawn);
+    CHECK(fixture.closed_pins().size() == 1);
+    CHECK(fixture.StatementCall() == nullptr);
   }
-  SECTION("a lost commit with an id is looked up") {
-    const auto commit =
-        bench.Request(Operation::COMMIT, "c1", messages::Durability::PRIMARY);
-    bench.Finish(bench.Statement(), 0, Delivery::kUnknown);
-    bench.Finish(bench.Open(EndpointOperation::kOutcome, "a"), 2);
-    CHECK(bench.CodeOf(commit) == ResultCode::kOk);
+  SECTION("a lost commit with a request id is looked up") {
+    const auto commit = fixture.SendRequest(Operation::COMMIT, "c1",
+                                            messages::Durability::PRIMARY);
+    fixture.CompleteCall(fixture.StatementCall(), 0, Delivery::kUnknown);
+    fixture.CompleteCall(fixture.FindCall(EndpointOperation::kOutcome, "a"), 2);
+    CHECK(fixture.CodeOf(commit) == ResultCode::kOk);
   }
-  SECTION("a planned stop lets it end and takes nothing else") {
-    bench.coordinator().BeginDrain();
-    const auto inside = bench.Write();
-    bench.Finish(bench.Statement(), 1);
-    CHECK(bench.CodeOf(inside) == ResultCode::kOk);
-    bench.transaction.clear();
-    CHECK(bench.CodeOf(bench.Request(Operation::BEGIN_WORK, "",
-                                     messages::Durability::MAJORITY)) ==
+  SECTION("a planned stop lets it continue and refuses new transactions") {
+    fixture.coordinator().BeginDrain();
+    const auto inside = fixture.SendWrite();
+    fixture.CompleteCall(fixture.StatementCall(), 1);
+    CHECK(fixture.CodeOf(inside) == ResultCode::kOk);
+    fixture.transaction.clear();
+    CHECK(fixture.CodeOf(fixture.SendRequest(Operation::BEGIN_WORK, "",
+                                             messages::Durability::MAJORITY)) ==
           ResultCode::kCoordinatorMoved);
   }
-  SECTION("a lost commit without an id is unknown") {
-    const auto commit =
-        bench.Request(Operation::COMMIT, "", messages::Durability::MAJORITY);
-    bench.Finish(bench.Statement(), 0, Delivery::kUnknown);
-    CHECK(bench.CodeOf(commit) == ResultCode::kOutcomeUnknown);
+  SECTION("a lost commit without a request id has an unknown outcome") {
+    const auto commit = fixture.SendRequest(Operation::COMMIT, "",
+                                            messages::Durability::MAJORITY);
+    fixture.CompleteCall(fixture.StatementCall(), 0, Delivery::kUnknown);
+    CHECK(fixture.CodeOf(commit) == ResultCode::kOutcomeUnknown);
   }
 }
 
--- a/coordinator/tests/lost_proposal_test.cc
+++ b/coordinator/tests/lost_proposal_test.cc
@@ -7,15 +7,15 @@
 namespace goldcrest::coordinator {
 namespace {
 
-// In ticks. The first answers come so late that the proposal ends at a probe's
-// time.
-constexpr int kFirstAnswers = 9;
+// Tick of the first answers, chosen so that the proposal times out in a tick
+// that also sends probes.
+constexpr int kFirstAnsweredTick = 9;
 
 }  // namespace
 
 TEST_CASE("Members are probed after a proposal was given up", "[coordinator]") {
-  // Guards against effects that are dropped in the tick that gives a proposal
-  // up: probes that were never sent count as in flight for ever.
+  // Guards against losing the effects of the tick in which a proposal times
+  // out: its probes would never be sent but count as in flight forever.
   Time now = TimeFromMicros(1'000'000);
   std::uint64_t last_call = 0;
   CoordinatorHooks hooks;
@@ -31,17 +31,17 @@
     endpoints[i].endpoint = "bookings-" + std::to_string(i + 1);
   coordinator.SetEndpoints(endpoints, now);
 
-  std::map<std::string, Time> probed;
+  std::map<std::string, Time> last_probe;
   std::size_t proposals = 0;
   std::vector<EndpointCall> calls;
   for (int tick = 0; tick < 200; ++tick) {
     const CoordinatorEffects effects = coordinator.Tick(now);
-    proposals += effects.proposals.size();  // control answers none of them
+    proposals += effects.proposals.size();  // control never answers
     calls.insert(calls.end(), effects.calls.begin(), effects.calls.end());
     for (const EndpointCall& call : effects.calls)
-      probed[call.endpoint] = now;
+      last_probe[call.endpoint] = now;
     for (const EndpointCall& call : calls) {
-      if (tick < kFirstAnswers)
+      if (tick < kFirstAnsweredTick)
         break;
       CallResult result;
       result.delivery = Delivery::kAnswered;
@@ -49,12 +49,12 @@
       result.answer.endpoint = call.endpoint;
       coordinator.OnCallResult(call.id, result, now);
     }
-    if (tick >= kFirstAnswers)
+    if (tick >= kFirstAnsweredTick)
       calls.clear();
     now += std::chrono::milliseconds(10);
   }
   CHECK(proposals >= 3);
-  for (const auto& [endpoint, last] : probed) {
+  for (const auto& [endpoint, last] : last_probe) {
     CAPTURE(endpoint);
     CHECK(now - last <= std::chrono::milliseconds(200));
   }
--- a/coordinator/tests/member_table_test.cc
+++ b/coordinator/tests/member_table_test.cc
@@ -16,7 +16,7 @@
   return info;
 }
 
-MemberTable GroupOfThree() {
+MemberTable MakeThreeMemberTable() {
   MemberTable table;
   table.SetEndpoints({InfoOf("a"), InfoOf("b"), InfoOf("c")}, Time());
   return table;
@@ -26,15 +26,15 @@
 
 TEST_CASE("A promotion keeps every write that a majority held",
           "[coordinator][guarantee]") {
-  // Guards against the loss of acknowledged writes: for each order of lag and
-  // loss in a group of three, the member chosen must hold what was
-  // acknowledged while "a" was primary.
+  // Guards against the loss of acknowledged writes. For each combination of
+  // replica lag and one lost member, the chosen member must hold all writes
+  // that were acknowledged while "a" was primary.
   const std::vector<std::int64_t> positions = {5, 8, 10};
   for (const std::int64_t b : positions) {
     for (const std::int64_t c : positions) {
       for (const char* lost : {"a", "b", "c", ""}) {
         CAPTURE(b, c, lost);
-        MemberTable table = GroupOfThree();
+        MemberTable table = MakeThreeMemberTable();
         table.OnReport("a", 1, 1, 10, Time());
         table.OnReport("b", 1, 1, b, Time());
         table.OnReport("c", 1, 1, c, Time());
@@ -64,9 +64,9 @@
 
 TEST_CASE("A longer log of an earlier term does not win a promotion",
           "[coordinator][guarantee]") {
-  // Guards against a returned old primary whose unacknowledged tail is longer
-  // than the log of its successor.
-  MemberTable table = GroupOfThree();
+  // Guards against promoting a returning old primary whose log, with its
+  // unacknowledged writes, is longer than the log of its successor.
+  MemberTable table = MakeThreeMemberTable();
   table.OnReport("a", 1, 1, 120, Time());
   table.OnReport("b", 2, 2, 110, Time());
   CHECK(table.ChoosePrimary(Time(), kTimeout, "", "") == "b");
@@ -74,16 +74,17 @@
 
 TEST_CASE("One member of three is not enough for a promotion",
           "[coordinator][guarantee]") {
-  MemberTable table = GroupOfThree();
+  MemberTable table = MakeThreeMemberTable();
   table.OnReport("b", 1, 1, 10, Time());
   CHECK_FALSE(table.ChoosePrimary(Time(), kTimeout, "", "").has_value());
 }
 
 TEST_CASE("A leaving member is promoted only if no other holds all writes",
           "[coordinator][guarantee]") {
-  // Guards against a group without a primary as well: "a" has failed, and a
-  // write that "a" and "b" held is acknowledged.
-  MemberTable table = GroupOfThree();
+  // Guards against promoting a leaving member without need, and against a group
+  // that stays without a primary: "a" has failed after "a" and "b" acknowledged
+  // a write.
+  MemberTable table = MakeThreeMemberTable();
   messages::EndpointInfo leaving = InfoOf("b");
   leaving.leaving = true;
   table.SetEndpoints({InfoOf("a"), leaving, InfoOf("c")}, Time());
@@ -96,16 +97,16 @@
 
 TEST_CASE("Equal positions of an earlier term are not replicas of a write",
           "[coordinator][guarantee]") {
-  MemberTable table = GroupOfThree();
+  MemberTable table = MakeThreeMemberTable();
   table.OnReport("a", 2, 2, 10, Time());
   table.OnReport("b", 2, 1, 10, Time());
   table.OnReport("c", 2, 1, 12, Time());
   CHECK_FALSE(table.MajorityHolds(2, 10));
 }
 
-TEST_CASE("Only replicas that stand still show an isolated primary",
+TEST_CASE("A primary is isolated only if its replicas make no progress",
           "[coordinator]") {
-  MemberTable table = GroupOfThree();
+  MemberTable table = MakeThreeMemberTable();
   table.SetPrimary("a", Time());
   const auto report = [&](milliseconds at, std::int64_t a, std::int64_t b) {
     const Time now = Time() + at;
@@ -114,18 +115,18 @@
   };
   report(milliseconds(0), 1, 1);
 
-  SECTION("a replica that is level with an idle primary is no sign") {
+  SECTION("not if a replica has the whole log of an idle primary") {
     report(milliseconds(5000), 1, 1);
     CHECK_FALSE(table.PrimaryIsIsolated(Time() + milliseconds(5000), kTimeout));
     report(milliseconds(5010), 2, 1);
     CHECK_FALSE(table.PrimaryIsIsolated(Time() + milliseconds(5010), kTimeout));
   }
-  SECTION("a slow replica that advances is no sign") {
+  SECTION("not if a slow replica advances") {
     report(milliseconds(100), 50, 1);
     report(milliseconds(400), 90, 2);
     CHECK_FALSE(table.PrimaryIsIsolated(Time() + milliseconds(800), kTimeout));
   }
-  SECTION("a replica that stays behind without progress is one") {
+  SECTION("if a replica stays behind without progress") {
     report(milliseconds(100), 50, 1);
     report(milliseconds(700), 90, 1);
     CHECK(table.PrimaryIsIsolated(Time() + milliseconds(700), kTimeout));
--- a/coordinator/tests/request_table_test.cc
+++ b/coordinator/tests/request_table_test.cc
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-TEST_CASE("A resend meets the first attempt instead of running again",
+TEST_CASE("A resent request joins the first attempt or gets its answer",
           "[coordinator][guarantee]") {
   using Result = RequestTable::AddResult;
   RequestTable table;
@@ -34,13 +34,13 @@
       table.Add({"e1", 1}, Write("town-hall", "incr pump"), Time());
   REQUIRE(first.result == Result::kAdded);
 
-  SECTION("while it runs, at another entry") {
+  SECTION("it joins a running attempt of another entry") {
     CHECK(
         table.Add({"e2", 9}, Write("town-hall", "incr pump"), Time()).result ==
         Result::kJoined);
     CHECK(first.request->origins.size() == 2);
   }
-  SECTION("after it has ended, and gets the same answer") {
+  SECTION("it gets the answer of a finished attempt") {
     table.Finish(first.request->id, Done(), true);
     const auto again =
         table.Add({"e2", 9}, Write("town-hall", "incr pump"), Time());
@@ -50,17 +50,17 @@
         table.Add({"e2", 9}, Write("town-hall", "incr gate"), Time()).result ==
         Result::kReused);
   }
-  SECTION("but a different statement under the same id is refused") {
+  SECTION("a different statement with the same request id is refused") {
     CHECK(
         table.Add({"e2", 9}, Write("town-hall", "incr gate"), Time()).result ==
         Result::kReused);
   }
-  SECTION("and another customer's request with the same id is its own") {
+  SECTION("another customer's request with the same request id is added") {
     CHECK(
         table.Add({"e2", 9}, Write("brasserie", "incr pump"), Time()).result ==
         Result::kAdded);
   }
-  SECTION("a refusal is not remembered, so the resend can run") {
+  SECTION("a refusal is not kept, so the resend can run") {
     table.Finish(first.request->id, Done(), false);
     CHECK(
         table.Add({"e2", 9}, Write("town-hall", "incr pump"), Time()).result ==
