--- a/bench/cost_bench.cc
+++ b/bench/cost_bench.cc
@@ -174,8 +174,8 @@
     AddCustomersAndKeys(configuration_, keys);
     AddRules(configuration_, 10);
     coordinator::CoordinatorHooks hooks;
-    hooks.caller_in_force = [this](const std::string& key,
-                                   const std::string& customer) {
+    hooks.key_is_valid = [this](const std::string& key,
+                                const std::string& customer) {
       return configuration_.KeyInForceFor(key, customer);
     };
     hooks.endpoint_allowed = [this](const std::string& rule,
--- a/coordinator/include/goldcrest/coordinator/group_coordinator.h
+++ b/coordinator/include/goldcrest/coordinator/group_coordinator.h
@@ -55,7 +55,7 @@
   //! True while the key exists and belongs to the customer. The key name is
   //! empty on open routes, which need no key.
   std::function<bool(const std::string& key_name, const std::string& customer)>
-      caller_in_force;
+      key_is_valid;
   std::function<bool(const std::string& rule, const messages::EndpointInfo&)>
       endpoint_allowed;
   std::function<bool(const messages::EndpointInfo&)> endpoint_leaving;
--- a/coordinator/src/group_coordinator.cc
+++ b/coordinator/src/group_coordinator.cc
@@ -148,7 +148,7 @@
     Refuse(request.id, ResultCode::kInvalidField);
     return;
   }
-  if (!hooks_.caller_in_force(forward.key_name, forward.customer)) {
+  if (!hooks_.key_is_valid(forward.key_name, forward.customer)) {
     EndTransaction(transaction->pin, true);
     Refuse(request.id, ResultCode::kKeyWithdrawn);
     return;
--- a/coordinator/src/group_coordinator_dispatch.cc
+++ b/coordinator/src/group_coordinator_dispatch.cc
@@ -132,7 +132,7 @@
   };
   if (now >= request.deadline)
     return refuse(ResultCode::kDeadlineBeforeSend);
-  if (!hooks_.caller_in_force(forward.key_name, forward.customer))
+  if (!hooks_.key_is_valid(forward.key_name, forward.customer))
     return refuse(ResultCode::kKeyWithdrawn);
   if (forward.operation != Operation::WRITE ||
       forward.durability == messages::Durability::PRIMARY)
--- a/coordinator/src/group_coordinator_primary.cc
+++ b/coordinator/src/group_coordinator_primary.cc
@@ -43,7 +43,7 @@
 CoordinatorEffects GroupCoordinator::OnPolicyChange(Time now) {
   std::vector<std::uint64_t> withdrawn;
   for (const auto& [pin, transaction] : transactions_.transactions()) {
-    if (!hooks_.caller_in_force(transaction.key_name, transaction.customer))
+    if (!hooks_.key_is_valid(transaction.key_name, transaction.customer))
       withdrawn.push_back(pin);
   }
   for (const std::uint64_t pin : withdrawn) {
--- a/coordinator/tests/group_coordinator_test.cc
+++ b/coordinator/tests/group_coordinator_test.cc
@@ -114,7 +114,7 @@
   std::int64_t epoch = 1;
   std::string key = "k-town-hall";
   std::string transaction;
-  bool key_in_force = true;
+  bool key_is_valid = true;
 
  private:
   static messages::GroupState State() {
@@ -127,8 +127,8 @@
   }
   CoordinatorHooks Hooks() {
     CoordinatorHooks hooks;
-    hooks.caller_in_force = [this](const auto&, const auto&) {
-      return key_in_force;
+    hooks.key_is_valid = [this](const auto&, const auto&) {
+      return key_is_valid;
     };
     hooks.endpoint_allowed = [](const auto&, const auto&) { return true; };
     hooks.endpoint_leaving = [](const auto&) { return false; };
@@ -233,7 +233,7 @@
   const auto write = fixture.SendWrite("w1");
   fixture.CompleteCall(fixture.StatementCall(), 0, Delivery::kUnknown);
   SECTION("when its key is withdrawn before the second attempt") {
-    fixture.key_in_force = false;
+    fixture.key_is_valid = false;
     fixture.Tick(milliseconds(60));
   }
   SECTION("when it expires in the queue") {
@@ -273,7 +273,7 @@
     CHECK(fixture.CodeOf(fixture.SendWrite()) == ResultCode::kInvalidField);
   }
   SECTION("a withdrawn key is refused and the connection closed") {
-    fixture.key_in_force = false;
+    fixture.key_is_valid = false;
     CHECK(fixture.CodeOf(fixture.SendWrite()) == ResultCode::kKeyWithdrawn);
     CHECK(fixture.closed_pins().size() == 1);
     CHECK(fixture.StatementCall() == nullptr);
--- a/entry/src/entry_node.cc
+++ b/entry/src/entry_node.cc
@@ -329,8 +329,8 @@
 
 coordinator::CoordinatorHooks EntryNode::MakeCoordinatorHooks() {
   coordinator::CoordinatorHooks hooks;
-  hooks.caller_in_force = [this](const std::string& key_name,
-                                 const std::string& customer) {
+  hooks.key_is_valid = [this](const std::string& key_name,
+                              const std::string& customer) {
     return key_name.empty() ||
            view_.configuration().KeyInForceFor(key_name, customer);
   };
