--- a/entry/include/goldcrest/entry/caller_request.h
+++ b/entry/include/goldcrest/entry/caller_request.h
@@ -11,12 +11,12 @@
 
 namespace goldcrest::entry {
 
-//! A caller's request after parsing. The key's text has been replaced by its
-//! digest and is not kept.
+//! A parsed request of a caller. It holds a digest of the caller's key instead
+//! of the key.
 struct CallerRequest {
   std::uint64_t id = 0;  //!< Unique within the instance.
   messages::Operation::type operation = messages::Operation::READ;
-  std::string key_digest;  //!< 32 bytes; empty: no key shown.
+  std::string key_digest;  //!< 32 bytes; empty: request without a key.
   std::string group;
   std::string statement;
   std::string request_id;
@@ -24,7 +24,7 @@
   std::string transaction;
   std::string session_token;
   std::chrono::milliseconds timeout{0};
-  //! Tightens the bound of the access rule, never widens it.
+  //! Lowers the maximum age that the access rule sets; never raises it.
   std::optional<std::chrono::milliseconds> max_age;
 };
 
@@ -33,12 +33,12 @@
   ResultCode code = ResultCode::kOk;
   std::string value;
   std::string message;
-  std::string session_token;  //!< Empty: the caller keeps the one it has.
+  std::string session_token;  //!< Empty: the caller keeps its current token.
   std::string transaction;
   std::string served_by;
-  //! Set where the request can succeed after that time.
+  //! Set if a retry after this time can succeed.
   std::optional<std::chrono::milliseconds> retry_after;
-  std::string customer;  //!< For counters; empty when unknown.
+  std::string customer;  //!< For metrics; empty if unknown.
   std::string group;
 };
 
--- a/entry/include/goldcrest/entry/control_client.h
+++ b/entry/include/goldcrest/entry/control_client.h
@@ -19,20 +19,21 @@
 
 struct ControlClientOptions {
   messages::InstanceInfo self;
-  std::vector<std::string> control_members;  //!< Names of instances.
+  std::vector<std::string> control_members;  //!< Instance names.
   Duration report_interval = std::chrono::milliseconds(250);
-  //! Without an answer for this long the next control member is asked.
+  //! After this time without an answer the client switches to the next control
+  //! member.
   Duration answer_timeout = std::chrono::milliseconds(400);
 };
 
-//! Keeps an entry in contact with the control leader: sends reports, finds the
-//! leader, and takes over what its answers bring. Not thread-safe.
+//! Connects an entry with the control leader: finds the leader, sends reports
+//! and applies the updates that answer them. Not thread-safe.
 class ControlClient {
  public:
   struct UpdateResult {
-    bool accepted = false;  //!< False: of an earlier leader; ignored.
+    bool accepted = false;  //!< False: not from the current leader; ignored.
     bool view_changed = false;
-    //! The entry may serve keyed requests until then.
+    //! The entry may serve requests with a key until then.
     std::optional<Time> control_lease_until;
     std::vector<std::pair<messages::CoordinatorLease, Time>> leases;
   };
@@ -41,7 +42,7 @@
                 quota::Holder* holder,
                 ControlClientOptions options);
 
-  //! The report to send now, with the member to send it to.
+  //! Returns the report to send now, if one is due, and its recipient.
   std::optional<std::pair<std::string, messages::EntryReport>> MaybeReport(
       std::vector<messages::CoordinatorReport> coordinators,
       bool draining,
@@ -51,15 +52,15 @@
   UpdateResult OnUpdate(const messages::ControlUpdate& update, Time now);
 
   void OnAnnouncement(const messages::Announcement& announcement);
-  void AddNote(messages::JournalEntry entry);
+  void AddJournalEntry(messages::JournalEntry entry);
 
-  //! Makes a report due at once.
-  void ReportSoon() { report_soon_ = true; }
+  //! Makes a report due without waiting for the report interval.
+  void RequestImmediateReport() { immediate_report_ = true; }
 
-  //! The leader, or the control member that is asked next.
+  //! The control member that reports are sent to: the leader if it is known.
   const std::string& target() const { return target_; }
-  //! `target` answered that it is not the leader, or its link is down.
-  //! `hint` is the leader it names, if any.
+  //! Switches to another target, because the current one is not the leader or
+  //! its link is down. `hint` is the leader that it named, if any.
   void OnTargetFailed(const std::string& hint, Time now);
 
  private:
@@ -74,12 +75,12 @@
   std::int64_t sequence_ = 0;
   std::int64_t answered_sequence_ = 0;
   Time next_report_;
-  std::string silent_member_;  // did not answer; followers may still name it
-  Time silent_until_;
+  std::string unresponsive_member_;  // followers may still name it as leader
+  Time unresponsive_until_;
   std::optional<Time> unanswered_since_;
-  bool report_soon_ = true;
+  bool immediate_report_ = true;
   std::map<std::string, messages::Announcement> announcements_;
-  std::deque<messages::JournalEntry> notes_;  // not yet sent
+  std::deque<messages::JournalEntry> unsent_journal_;  // oldest first
 };
 
 }  // namespace goldcrest::entry
--- a/entry/include/goldcrest/entry/control_node.h
+++ b/entry/include/goldcrest/entry/control_node.h
@@ -22,7 +22,7 @@
 namespace goldcrest::entry {
 
 struct ControlNodeHooks {
-  //! Makes the writes durable. False: the process must stop.
+  //! Makes the writes durable. Returns false if the process must stop.
   std::function<bool(const std::vector<consensus::LogWrite>&)> persist;
   std::function<std::string()> random_secret;  //!< 32 bytes.
   std::function<std::int64_t()> wall_ms;       //!< Unix time, for the journal.
@@ -30,11 +30,11 @@
 
 struct ControlEffects {
   std::vector<std::pair<std::string, messages::PeerMessage>> messages;
-  bool failed = false;  //!< The log could not be written: stop the process.
+  bool failed = false;  //!< Log write or decoding failed: stop the process.
 };
 
 //! The control role of one instance: its replica of the log, the state machine
-//! and, while it leads, the leader's work. Not thread-safe.
+//! and, while the instance leads, the leader. Not thread-safe.
 class ControlNode {
  public:
   ControlNode(consensus::ReplicaOptions options,
@@ -46,10 +46,10 @@
   ControlEffects OnMessage(const std::string& from,
                            const messages::PeerMessage& message,
                            Time now);
-  //! Call each 10 ms.
+  //! Call every 10 ms.
   ControlEffects Tick(Time now);
 
-  //! Hands leadership over before a planned stop.
+  //! Transfers leadership before a planned stop.
   ControlEffects TransferLeadership(Time now);
 
   bool IsLeader() const { return leader_ != nullptr; }
@@ -67,7 +67,7 @@
                const std::string& message);
   void Process(consensus::Output output, Time now);
   void ApplyCommitted(const messages::LogEntry& entry, Time now);
-  void CarryOut(const control::LeaderEffects& effects, Time now);
+  void ExecuteEffects(const control::LeaderEffects& effects, Time now);
   void UpdateLeadership(Time now);
   void MaybeCompact(Time now);
   void Send(const std::string& to, messages::PeerMessage message);
@@ -81,7 +81,7 @@
   std::int64_t applied_index_ = 0;
   std::int64_t leader_term_ = 0;
   std::unique_ptr<control::Leader> leader_;
-  // Proposals of this leader by log index, until they are committed.
+  // Uncommitted proposals of this leader: ids by log index.
   std::map<std::int64_t, std::uint64_t> proposals_;
   ControlEffects effects_;
 };
--- a/entry/include/goldcrest/entry/entry_node.h
+++ b/entry/include/goldcrest/entry/entry_node.h
@@ -41,7 +41,8 @@
 struct EntryEffects {
   std::vector<std::pair<std::string, messages::PeerMessage>> messages;
   std::vector<coordinator::EndpointCall> calls;
-  //! Endpoint and pin of connections to close or to give back.
+  //! Endpoint and pin of reserved connections to close or to return to the
+  //! pool.
   std::vector<std::pair<std::string, std::uint64_t>> closed_pins;
   std::vector<std::pair<std::string, std::uint64_t>> released_pins;
   std::vector<CallerAnswer> answers;
@@ -50,9 +51,9 @@
   bool view_changed = false;
 };
 
-//! The entry role of one instance: ingress, the groups that it coordinates, and
-//! its contact with control. Messages to its own instance are effects like any
-//! other. Not thread-safe.
+//! The entry role of one instance: ingress, coordinators of its groups, and the
+//! client of control. Messages to its own instance are returned as effects too.
+//! Not thread-safe.
 class EntryNode {
  public:
   EntryNode(EntryNodeOptions options, EntryNodeHooks hooks);
@@ -61,30 +62,32 @@
   EntryEffects OnMessage(const std::string& from,
                          const messages::PeerMessage& message,
                          Time now);
-  //! The message, an effect of this node, did not leave the instance.
+  //! Handles a message of this node that could not be sent.
   EntryEffects OnNotSent(const std::string& to,
                          const messages::PeerMessage& message,
                          Time now);
   EntryEffects OnCallResult(std::uint64_t call_id,
                             const coordinator::CallResult& result,
                             Time now);
-  //! An announcement that has been authenticated.
+  //! Handles an authenticated announcement.
   EntryEffects OnAnnouncement(const messages::Announcement& announcement,
                               Time now);
-  //! An operator's request for the log; its id is set here. Resent to a new
-  //! leader until `deadline`, so a change must carry a change id.
+  //! Proposes an operator's request to control; sets the request's id. The
+  //! proposal is resent, possibly to a new leader, until `deadline`, so changes
+  //! need a change id that prevents duplicates.
   EntryEffects OnOperatorProposal(std::uint64_t id,
                                   const messages::ProposeRequest& request,
                                   Time deadline,
                                   Time now);
-  //! Call each 10 ms.
+  //! Call every 10 ms.
   EntryEffects Tick(Time now);
 
-  //! Starts a planned stop: coordination is handed over, requests still run.
+  //! Starts a planned stop: hands its groups over to other instances while
+  //! requests are still served.
   void BeginDrain();
-  //! The last caller's connection has been closed: nothing will arrive.
+  //! Reports that all caller connections are closed, so no request can arrive.
   void OnCallersGone() { callers_gone_ = true; }
-  //! True once nothing runs here and control has been told so.
+  //! True once nothing runs here and a report of this has been sent to control.
   bool IsDrained() const { return stop_reported_; }
 
   const View& view() const { return view_; }
@@ -111,11 +114,12 @@
                  const messages::ForwardRequest& request,
                  Time now);
   void OnProposeResponse(const messages::ProposeResponse& response, Time now);
-  void Take(coordinator::CoordinatorEffects effects, const std::string& group);
-  void Take(IngressEffects effects);
+  void MergeEffects(coordinator::CoordinatorEffects effects,
+                    const std::string& group);
+  void MergeEffects(IngressEffects effects);
   void SendProposal(const messages::ProposeRequest& request);
   void ResendProposals(Time now);
-  void DrainStep(Time now);
+  void StopDrainedCoordinators(Time now);
   void SendReport(Time now);
   coordinator::CoordinatorHooks MakeCoordinatorHooks();
   void RefreshLimits();
@@ -130,9 +134,9 @@
   std::map<std::string, std::unique_ptr<coordinator::GroupCoordinator>>
       coordinators_;
   std::map<std::uint64_t, std::string> group_by_call_;
-  std::map<std::string, std::int64_t> resigned_;  // epoch by group
+  std::map<std::string, std::int64_t> resigned_;  // last epoch by group
   std::int64_t next_proposal_ = 1;
-  std::map<std::int64_t, std::string> coordinator_proposals_;  // group
+  std::map<std::int64_t, std::string> coordinator_proposals_;  // groups
   std::map<std::int64_t, std::pair<std::uint64_t, OperatorProposal>>
       operator_proposals_;
   std::uint64_t next_call_id_ = 1;
--- a/entry/include/goldcrest/entry/ingress.h
+++ b/entry/include/goldcrest/entry/ingress.h
@@ -22,12 +22,12 @@
 namespace goldcrest::entry {
 
 struct IngressOptions {
-  //! Longest wait for a token before a request is refused by rate.
+  //! Longest wait for a quota token before a request is refused.
   Duration quota_wait = std::chrono::milliseconds(250);
-  //! Wait before a request goes to a coordinator again.
+  //! Delay before a request is forwarded again.
   Duration retry_delay = std::chrono::milliseconds(20);
-  //! How long past a request's deadline the coordinator's answer may still
-  //! come.
+  //! Time after a request's deadline in which the coordinator's answer is still
+  //! accepted.
   Duration answer_grace = std::chrono::milliseconds(300);
 };
 
@@ -36,18 +36,19 @@
   std::vector<CallerAnswer> answers;
 };
 
-//! Takes callers' requests: access, session, rate, then the way to the group's
-//! coordinator and back. Not thread-safe.
+//! Checks access, session token and rate of callers' requests, forwards them to
+//! the group's coordinator and returns the answers. Not thread-safe.
 class Ingress {
  public:
-  //! `view` and `holder` must outlive it. `random_bytes` gives that many bytes.
+  //! `view` and `holder` must outlive the ingress. `random_bytes` returns the
+  //! given number of random bytes.
   Ingress(const View* view,
           quota::Holder* holder,
           IngressOptions options,
           std::function<std::string(std::size_t)> random_bytes);
 
-  //! Until then keyed requests are served; afterwards this instance can't know
-  //! which keys were withdrawn.
+  //! Requests with a key are served until `until`. Afterwards this instance may
+  //! have missed the withdrawal of a key.
   void SetControlLease(Time until) { control_lease_until_ = until; }
   bool HasControlLease(Time now) const { return now < control_lease_until_; }
 
@@ -55,13 +56,13 @@
   IngressEffects OnResponse(const std::string& from,
                             const messages::ForwardResponse& response,
                             Time now);
-  //! A forward could not be handed to the peer's link: it did not leave.
-  IngressEffects OnNotForwarded(std::int64_t forward_id, Time now);
+  //! Handles a forwarded request that did not leave this instance.
+  IngressEffects OnForwardNotSent(std::int64_t forward_id, Time now);
 
-  //! Groups, keys, rates or shares have changed.
+  //! Handles a change of groups, keys, rates or quota shares.
   IngressEffects OnViewChange(Time now);
 
-  //! Call each 10 ms.
+  //! Call every 10 ms.
   IngressEffects Tick(Time now);
 
   std::size_t InFlight() const { return pending_.size(); }
@@ -88,17 +89,17 @@
   ResultCode Admit(Pending& pending, Time now);
   ResultCode OpenSession(Pending& pending) const;
   bool NeedsToken(const Pending& pending) const;
-  bool IsRepeatable(const CallerRequest& request) const;
+  bool IsRetryable(const CallerRequest& request) const;
   void Forward(std::int64_t id, Pending& pending, Time now);
-  void TakeWaitingTokens(Time now);
+  void ServeTokenWaiters(Time now);
   void RetryForwards(Time now);
   void CheckForwarded(Time now);
-  bool CallerInForce(const Pending& pending) const;
+  bool KeyIsValid(const Pending& pending) const;
   void Answer(std::int64_t id, CallerAnswer answer);
   void Refuse(std::int64_t id, ResultCode code, Time now);
   std::string SealToken(const Pending& pending,
                         const messages::ForwardResponse& response);
-  //! Never the same twice under one secret, on any instance.
+  //! Returns a nonce that no instance has used before with the same secret.
   std::array<std::uint8_t, session::TokenSealer::kNonceBytes> NextNonce();
   IngressEffects TakeEffects();
 
@@ -111,7 +112,8 @@
   std::string nonce_prefix_;
   std::uint32_t nonce_counter_ = 0;
   std::map<std::int64_t, Pending> pending_;  // by forward id
-  std::map<std::string, std::deque<std::int64_t>> token_waiters_;  // customer
+  // Forward ids of requests waiting for a quota token, by customer.
+  std::map<std::string, std::deque<std::int64_t>> token_waiters_;
   std::set<std::int64_t> coordinator_waiters_;
   IngressEffects effects_;
 };
--- a/entry/include/goldcrest/entry/view.h
+++ b/entry/include/goldcrest/entry/view.h
@@ -12,10 +12,11 @@
 
 namespace goldcrest::entry {
 
-//! An entry's copy of what control has logged. Filled by ControlClient only.
+//! An entry's copy of the state that control has logged. Only ControlClient
+//! updates it.
 class View {
  public:
-  //! Merges newer state. False when nothing was new.
+  //! Merges newer state. Returns false if nothing changed.
   bool Merge(const messages::ControlUpdate& update);
 
   policy::Configuration& configuration() { return configuration_; }
--- a/entry/src/control_client.cc
+++ b/entry/src/control_client.cc
@@ -5,18 +5,20 @@
 namespace goldcrest::entry {
 namespace {
 
-constexpr std::size_t kMaxNotes = 200;
+constexpr std::size_t kMaxUnsentJournalEntries = 200;
 
-// Reports made at once (quota, assignments) are at least this far apart.
-constexpr Duration kMinReportGap = std::chrono::milliseconds(5);
+// Minimum time between reports that do not wait for the report interval, such
+// as reports about quota and assignments.
+constexpr Duration kMinReportInterval = std::chrono::milliseconds(5);
 
-// Followers name a lost leader until they have elected another. Following them
-// would cost one more answer timeout, more than a coordinator's lease can bear.
-constexpr Duration kSilentMemberPause = std::chrono::seconds(1);
+// Hints to an unresponsive member are ignored for this long. Followers name a
+// failed leader until they have elected another one; following such a hint
+// costs one more answer timeout, and a coordinator's lease would expire.
+constexpr Duration kUnresponsiveMemberBackoff = std::chrono::seconds(1);
 
-// Wait before the next member is asked, so that an election is not met with a
-// report per round trip.
-constexpr Duration kHintPause = std::chrono::milliseconds(20);
+// Delay before the first report to a new target, so that an election does not
+// cause one report per round trip.
+constexpr Duration kNextMemberDelay = std::chrono::milliseconds(20);
 
 }  // namespace
 
@@ -34,19 +36,19 @@
     bool stopped,
     Time now) {
   if (unanswered_since_ && now - *unanswered_since_ > options_.answer_timeout) {
-    silent_member_ = target_;
-    silent_until_ = now + kSilentMemberPause;
+    unresponsive_member_ = target_;
+    unresponsive_until_ = now + kUnresponsiveMemberBackoff;
     AskNextMember();
     unanswered_since_.reset();
-    report_soon_ = true;
+    immediate_report_ = true;
   }
-  const bool at_once = report_soon_ || holder_->ReportDue(now);
-  const Time due = at_once
-                       ? next_report_ - options_.report_interval + kMinReportGap
-                       : next_report_;
+  const bool immediate = immediate_report_ || holder_->ReportDue(now);
+  const Time due =
+      immediate ? next_report_ - options_.report_interval + kMinReportInterval
+                : next_report_;
   if (now < due || target_.empty())
     return std::nullopt;
-  report_soon_ = false;
+  immediate_report_ = false;
   next_report_ = now + options_.report_interval;
   if (!unanswered_since_)
     unanswered_since_ = now;
@@ -64,11 +66,11 @@
   report.coordinators = std::move(coordinators);
   report.draining = draining;
   report.stopped = stopped;
-  // Notes go with one report only; a note that is sent again would be logged
-  // twice.
-  for (messages::JournalEntry& note : notes_)
-    report.journal.push_back(std::move(note));
-  notes_.clear();
+  // Journal entries are sent in one report only, because control would log a
+  // resent entry twice.
+  for (messages::JournalEntry& entry : unsent_journal_)
+    report.journal.push_back(std::move(entry));
+  unsent_journal_.clear();
   return std::pair(target_, std::move(report));
 }
 
@@ -78,7 +80,8 @@
   UpdateResult result;
   if (update.leader_term < newest_leader_term_)
     return result;
-  // A member that is not the leader answers with the leader's name only.
+  // A member that is not the leader sends only the leader's name, without a
+  // term.
   const bool is_hint = update.leader_term == 0;
   if (is_hint) {
     OnTargetFailed(update.leader, now);
@@ -95,7 +98,7 @@
     return known != nullptr && *known == entry.second.info;
   });
   if (result.view_changed)
-    report_soon_ = true;
+    immediate_report_ = true;
   if (update.report_sequence <= answered_sequence_)
     return result;
 
@@ -123,26 +126,27 @@
       (*known == info || known->incarnation > info.incarnation))
     return;
   announcements_[info.endpoint] = announcement;
-  report_soon_ = true;
+  immediate_report_ = true;
 }
 
-void ControlClient::AddNote(messages::JournalEntry entry) {
-  notes_.push_back(std::move(entry));
-  if (notes_.size() > kMaxNotes)
-    notes_.pop_front();
+void ControlClient::AddJournalEntry(messages::JournalEntry entry) {
+  unsent_journal_.push_back(std::move(entry));
+  if (unsent_journal_.size() > kMaxUnsentJournalEntries)
+    unsent_journal_.pop_front();
 }
 
 void ControlClient::OnTargetFailed(const std::string& hint, Time now) {
-  const bool silent = hint == silent_member_ && now < silent_until_;
-  if (!hint.empty() && hint != target_ && !silent)
+  const bool hint_unresponsive =
+      hint == unresponsive_member_ && now < unresponsive_until_;
+  if (!hint.empty() && hint != target_ && !hint_unresponsive)
     target_ = hint;
   else
     AskNextMember();
-  if (target_ == silent_member_ && now < silent_until_)
+  if (target_ == unresponsive_member_ && now < unresponsive_until_)
     AskNextMember();
   unanswered_since_.reset();
-  report_soon_ = true;
-  next_report_ = now + options_.report_interval + kHintPause;
+  immediate_report_ = true;
+  next_report_ = now + options_.report_interval + kNextMemberDelay;
 }
 
 void ControlClient::AskNextMember() {
--- a/entry/src/control_node.cc
+++ b/entry/src/control_node.cc
@@ -7,9 +7,8 @@
 namespace goldcrest::entry {
 namespace {
 
-// Entries applied between two snapshots. At 8,900 changes a day the log is
-// compacted several times a day.
-constexpr std::int64_t kCompactEvery = 1'000;
+// At 8,900 changes a day the log is compacted several times a day.
+constexpr std::int64_t kEntriesBetweenSnapshots = 1'000;
 
 }  // namespace
 
@@ -42,7 +41,7 @@
   const bool leads = leader_ != nullptr && replica_.HoldsLeaderLease(now);
   if (message.__isset.report) {
     if (leads) {
-      CarryOut(leader_->OnReport(message.report, now), now);
+      ExecuteEffects(leader_->OnReport(message.report, now), now);
     } else {
       messages::PeerMessage hint;
       messages::ControlUpdate update;
@@ -64,15 +63,18 @@
     return;
   }
   if (!request.__isset.members) {
-    CarryOut(leader_->OnPropose(from, request, hooks_.wall_ms(), now), now);
+    ExecuteEffects(leader_->OnPropose(from, request, hooks_.wall_ms(), now),
+                   now);
     return;
   }
   consensus::Proposal proposal = replica_.ProposeMembers(now, request.members);
   Process(std::move(proposal.output), now);
-  // An addition is logged once the new member has caught up.
-  const bool follows = proposal.code == ResultCode::kOk && proposal.index == 0;
+  // An addition is logged after the new member has caught up; until then it has
+  // no log index.
+  const bool logged_later =
+      proposal.code == ResultCode::kOk && proposal.index == 0;
   Respond(from, request.id, proposal.code,
-          follows ? "in force once the member has caught up" : "");
+          logged_later ? "in force once the member has caught up" : "");
 }
 
 void ControlNode::Respond(const std::string& to,
@@ -93,7 +95,7 @@
     Process(replica_.Tick(now), now);
   UpdateLeadership(now);
   if (leader_ != nullptr && replica_.HoldsLeaderLease(now))
-    CarryOut(leader_->Tick(hooks_.wall_ms(), now), now);
+    ExecuteEffects(leader_->Tick(hooks_.wall_ms(), now), now);
   MaybeCompact(now);
   return TakeEffects();
 }
@@ -145,10 +147,11 @@
   const std::uint64_t id = it->second;
   proposals_.erase(it);
   if (leader_ != nullptr && entry.term == leader_term_)
-    CarryOut(leader_->OnApplied(id, result, now), now);
+    ExecuteEffects(leader_->OnApplied(id, result, now), now);
 }
 
-void ControlNode::CarryOut(const control::LeaderEffects& effects, Time now) {
+void ControlNode::ExecuteEffects(const control::LeaderEffects& effects,
+                                 Time now) {
   for (const auto& [to, message] : effects.messages)
     Send(to, message);
   for (const control::Proposal& proposal : effects.proposals) {
@@ -156,11 +159,11 @@
         replica_.Propose(now, messages::Encode(proposal.command));
     if (logged.code != ResultCode::kOk) {
       if (leader_ != nullptr)
-        CarryOut(leader_->OnApplied(proposal.id, {logged.code, 0, ""}, now),
-                 now);
+        ExecuteEffects(
+            leader_->OnApplied(proposal.id, {logged.code, 0, ""}, now), now);
       continue;
     }
-    // Before the output is processed: a single member commits at once.
+    // Must precede Process(): a single member commits immediately.
     proposals_[logged.index] = proposal.id;
     Process(std::move(logged.output), now);
   }
@@ -180,7 +183,7 @@
 }
 
 void ControlNode::MaybeCompact(Time now) {
-  if (applied_index_ - replica_.SnapshotIndex() < kCompactEvery)
+  if (applied_index_ - replica_.SnapshotIndex() < kEntriesBetweenSnapshots)
     return;
   Process(replica_.Compact(applied_index_, messages::Encode(state_.Save())),
           now);
--- a/entry/src/entry_node.cc
+++ b/entry/src/entry_node.cc
@@ -7,8 +7,8 @@
 namespace goldcrest::entry {
 namespace {
 
-constexpr Duration kProposalRetry = std::chrono::milliseconds(500);
-constexpr std::size_t kRandomNameBytes = 16;
+constexpr Duration kProposalRetryInterval = std::chrono::milliseconds(500);
+constexpr std::size_t kTransactionNameBytes = 16;
 
 template <typename T>
 void AppendAll(std::vector<T>& to, std::vector<T>&& from) {
@@ -26,7 +26,7 @@
 
 EntryEffects EntryNode::OnCallerRequest(const CallerRequest& request,
                                         Time now) {
-  Take(ingress_.OnRequest(request, now));
+  MergeEffects(ingress_.OnRequest(request, now));
   SendReport(now);
   return TakeEffects();
 }
@@ -39,7 +39,7 @@
   if (message.__isset.forward)
     OnForward(from, message.forward, now);
   if (message.__isset.forward_response)
-    Take(ingress_.OnResponse(from, message.forward_response, now));
+    MergeEffects(ingress_.OnResponse(from, message.forward_response, now));
   if (message.__isset.propose_response)
     OnProposeResponse(message.propose_response, now);
   return TakeEffects();
@@ -49,7 +49,7 @@
                                   const messages::PeerMessage& message,
                                   Time now) {
   if (message.__isset.forward)
-    Take(ingress_.OnNotForwarded(message.forward.id, now));
+    MergeEffects(ingress_.OnForwardNotSent(message.forward.id, now));
   if (message.__isset.report && to == client_.target())
     client_.OnTargetFailed("", now);
   return TakeEffects();
@@ -65,7 +65,7 @@
   group_by_call_.erase(it);
   if (const auto found = coordinators_.find(group);
       found != coordinators_.end())
-    Take(found->second->OnCallResult(call_id, result, now), group);
+    MergeEffects(found->second->OnCallResult(call_id, result, now), group);
   return TakeEffects();
 }
 
@@ -82,7 +82,7 @@
     const messages::ProposeRequest& request,
     Time deadline,
     Time now) {
-  OperatorProposal proposal{request, deadline, now + kProposalRetry};
+  OperatorProposal proposal{request, deadline, now + kProposalRetryInterval};
   proposal.request.id = next_proposal_++;
   SendProposal(proposal.request);
   const std::int64_t number = proposal.request.id;
@@ -92,14 +92,14 @@
 
 EntryEffects EntryNode::Tick(Time now) {
   for (auto& [group, coordinator] : coordinators_)
-    Take(coordinator->Tick(now), group);
+    MergeEffects(coordinator->Tick(now), group);
   std::erase_if(coordinators_, [&](const auto& entry) {
     using Phase = coordinator::GroupCoordinator::Phase;
     return entry.second->phase() == Phase::kStopped;
   });
-  Take(ingress_.Tick(now));
+  MergeEffects(ingress_.Tick(now));
   ResendProposals(now);
-  DrainStep(now);
+  StopDrainedCoordinators(now);
   SendReport(now);
   return TakeEffects();
 }
@@ -108,20 +108,20 @@
   draining_ = true;
   for (auto& [group, coordinator] : coordinators_)
     coordinator->BeginDrain();
-  client_.ReportSoon();
+  client_.RequestImmediateReport();
 }
 
-void EntryNode::DrainStep(Time now) {
+void EntryNode::StopDrainedCoordinators(Time now) {
   for (auto it = coordinators_.begin(); it != coordinators_.end();) {
     coordinator::GroupCoordinator& coordinator = *it->second;
     if (!coordinator.draining() || !coordinator.IsIdle()) {
       ++it;
       continue;
     }
-    Take(coordinator.Stop(now, "handed over"), it->first);
+    MergeEffects(coordinator.Stop(now, "handed over"), it->first);
     resigned_[it->first] = coordinator.epoch();
     it = coordinators_.erase(it);
-    client_.ReportSoon();
+    client_.RequestImmediateReport();
   }
 }
 
@@ -141,8 +141,8 @@
       it->second->BeginDrain();
   }
   UpdateCoordinators(result.leases, now);
-  // Shares may have come even if the view is the same.
-  Take(ingress_.OnViewChange(now));
+  // The update may contain quota shares even if the view has not changed.
+  MergeEffects(ingress_.OnViewChange(now));
 }
 
 void EntryNode::UpdateCoordinators(
@@ -151,8 +151,8 @@
   for (auto& [name, coordinator] : coordinators_) {
     coordinator->SetEndpoints(view_.EndpointsOf(name), now);
     if (const messages::GroupState* state = view_.FindGroup(name))
-      Take(coordinator->OnGroupState(*state, now), name);
-    Take(coordinator->OnPolicyChange(now), name);
+      MergeEffects(coordinator->OnGroupState(*state, now), name);
+    MergeEffects(coordinator->OnPolicyChange(now), name);
   }
   for (const auto& [lease, until] : leases) {
     const messages::GroupState* state = view_.FindGroup(lease.group);
@@ -168,15 +168,16 @@
       resigned_[lease.group] = lease.epoch;
       continue;
     }
-    // An epoch is coordinated once: after a stop its requests may be answered
-    // by nobody, so control must assign a new epoch first.
+    // An epoch is never coordinated again after a stop. Its outstanding
+    // requests may stay unanswered, and entries resend them only after control
+    // has assigned a new epoch.
     const auto resigned = resigned_.find(lease.group);
     if (resigned != resigned_.end() && resigned->second >= lease.epoch)
       continue;
     auto coordinator = std::make_unique<coordinator::GroupCoordinator>(
         options_.coordinator, MakeCoordinatorHooks(), *state, until, now);
     coordinator->SetEndpoints(view_.EndpointsOf(lease.group), now);
-    Take(coordinator->Tick(now), lease.group);
+    MergeEffects(coordinator->Tick(now), lease.group);
     coordinators_[lease.group] = std::move(coordinator);
   }
 }
@@ -186,7 +187,7 @@
                           Time now) {
   const auto it = coordinators_.find(request.group);
   if (it != coordinators_.end()) {
-    Take(it->second->OnRequest(from, request, now), request.group);
+    MergeEffects(it->second->OnRequest(from, request, now), request.group);
     return;
   }
   messages::ForwardResponse response;
@@ -207,9 +208,9 @@
     if (found == coordinators_.end())
       return;
     if (response.code == ToNumber(ResultCode::kOk))
-      client_.ReportSoon();
+      client_.RequestImmediateReport();
     else
-      Take(found->second->OnProposalRefused(now), group);
+      MergeEffects(found->second->OnProposalRefused(now), group);
     return;
   }
   const auto it = operator_proposals_.find(response.id);
@@ -225,8 +226,8 @@
   operator_proposals_.erase(it);
 }
 
-void EntryNode::Take(coordinator::CoordinatorEffects effects,
-                     const std::string& group) {
+void EntryNode::MergeEffects(coordinator::CoordinatorEffects effects,
+                             const std::string& group) {
   for (const coordinator::EndpointCall& call : effects.calls)
     group_by_call_[call.id] = group;
   AppendAll(effects_.calls, std::move(effects.calls));
@@ -247,12 +248,12 @@
   for (messages::JournalEntry& entry : effects.journal) {
     entry.wall_ms = hooks_.wall_ms();
     entry.inputs["instance"] = options_.control.self.instance;
-    client_.AddNote(entry);
+    client_.AddJournalEntry(entry);
     effects_.journal.push_back(std::move(entry));
   }
 }
 
-void EntryNode::Take(IngressEffects effects) {
+void EntryNode::MergeEffects(IngressEffects effects) {
   AppendAll(effects_.answers, std::move(effects.answers));
   for (auto& [to, forward] : effects.forwards) {
     messages::PeerMessage message;
@@ -280,7 +281,7 @@
       continue;
     }
     if (now >= proposal.retry_at) {
-      proposal.retry_at = now + kProposalRetry;
+      proposal.retry_at = now + kProposalRetryInterval;
       SendProposal(proposal.request);
     }
     ++it;
@@ -309,8 +310,8 @@
     report.resign = true;
     reports.push_back(report);
   }
-  // Without control nobody can take the groups over, and nothing more is to be
-  // waited for: all control members may be stopping.
+  // Without control no other instance can take over the groups, so waiting is
+  // pointless: all control members may be stopping.
   handed_over = handed_over || !ingress_.HasControlLease(now);
   const bool stopped = draining_ && coordinators_.empty() && handed_over &&
                        ingress_.InFlight() == 0 && callers_gone_;
@@ -343,7 +344,7 @@
   };
   hooks.next_call_id = [this] { return next_call_id_++; };
   hooks.random_name = [this] {
-    return ToHex(hooks_.random_bytes(kRandomNameBytes));
+    return ToHex(hooks_.random_bytes(kTransactionNameBytes));
   };
   return hooks;
 }
--- a/entry/src/ingress.cc
+++ b/entry/src/ingress.cc
@@ -11,9 +11,9 @@
 
 constexpr std::int64_t kMicrosPerRequest = 1'000'000;
 
-// A nonce is a random prefix and a counter. Random nonces alone would repeat
-// after some 2^32 tokens of the fleet; a prefix is drawn once a process and
-// once per 2^32 tokens.
+// A nonce consists of a random prefix and a counter. Fully random nonces would
+// repeat after about 2^32 tokens of all instances; a prefix is drawn only once
+// per process and per 2^32 tokens.
 constexpr std::size_t kNoncePrefixBytes = 8;
 
 bool Writes(Operation::type operation) {
@@ -84,7 +84,8 @@
   if (!marks || marks->customer != pending.access.customer)
     return ResultCode::kInvalidSession;
   pending.marks = std::move(*marks);
-  // A write whose mark had no room in the token would not be seen again.
+  // Without room for the mark of a write in the token, later reads of the
+  // session could miss the write.
   const bool has_room =
       pending.marks.groups.size() < session::TokenSealer::kMaxGroups ||
       pending.marks.groups.contains(pending.request.group);
@@ -93,15 +94,15 @@
   return ResultCode::kOk;
 }
 
-// Ending a transaction costs nothing: a caller over its rate must be able to
-// release the slot that it holds.
+// The end of a transaction needs no token, so that a caller over its rate can
+// release the slot that its transaction holds.
 bool Ingress::NeedsToken(const Pending& pending) const {
   const Operation::type operation = pending.request.operation;
   return !pending.access.customer.empty() && operation != Operation::COMMIT &&
          operation != Operation::ROLLBACK;
 }
 
-bool Ingress::IsRepeatable(const CallerRequest& request) const {
+bool Ingress::IsRetryable(const CallerRequest& request) const {
   return request.operation == Operation::READ || request.idempotent ||
          !request.request_id.empty();
 }
@@ -159,7 +160,7 @@
   if (it == pending_.end())
     return TakeEffects();
   Pending& pending = it->second;
-  // An answer of an earlier coordinator is for an attempt that was given up.
+  // Answers of an earlier coordinator belong to an abandoned attempt.
   if (pending.state != State::kForwarded || pending.coordinator != from)
     return TakeEffects();
   const ResultCode code = ResultCodeFromNumber(response.code);
@@ -184,7 +185,7 @@
   return TakeEffects();
 }
 
-IngressEffects Ingress::OnNotForwarded(std::int64_t forward_id, Time now) {
+IngressEffects Ingress::OnForwardNotSent(std::int64_t forward_id, Time now) {
   const auto it = pending_.find(forward_id);
   if (it != pending_.end() && it->second.state == State::kForwarded) {
     it->second.state = State::kWaitingForCoordinator;
@@ -195,7 +196,7 @@
 }
 
 IngressEffects Ingress::OnViewChange(Time now) {
-  TakeWaitingTokens(now);
+  ServeTokenWaiters(now);
   for (const std::int64_t id : coordinator_waiters_)
     pending_.at(id).retry_at = now;
   CheckForwarded(now);
@@ -204,20 +205,20 @@
 }
 
 IngressEffects Ingress::Tick(Time now) {
-  TakeWaitingTokens(now);
+  ServeTokenWaiters(now);
   CheckForwarded(now);
   RetryForwards(now);
   return TakeEffects();
 }
 
-void Ingress::TakeWaitingTokens(Time now) {
+void Ingress::ServeTokenWaiters(Time now) {
   for (auto it = token_waiters_.begin(); it != token_waiters_.end();) {
     const std::string& customer = it->first;
     std::deque<std::int64_t>& waiters = it->second;
     while (!waiters.empty()) {
       const std::int64_t id = waiters.front();
       Pending& pending = pending_.at(id);
-      if (!CallerInForce(pending)) {
+      if (!KeyIsValid(pending)) {
         holder_->StopWaiting(customer);
         Refuse(id, ResultCode::kKeyWithdrawn, now);
       } else if (holder_->TryTakeWaiting(now, customer)) {
@@ -238,7 +239,7 @@
   const std::set<std::int64_t> waiters = coordinator_waiters_;
   for (const std::int64_t id : waiters) {
     Pending& pending = pending_.at(id);
-    if (!CallerInForce(pending)) {
+    if (!KeyIsValid(pending)) {
       Refuse(id, ResultCode::kKeyWithdrawn, now);
     } else if (now >= pending.deadline) {
       Refuse(id,
@@ -263,10 +264,10 @@
     const messages::GroupState* group = view_->FindGroup(pending.request.group);
     if (group == nullptr || group->coordinator_epoch <= pending.epoch)
       continue;
-    // The coordinator was replaced and can answer no more.
+    // The coordinator was replaced and can no longer answer.
     pending.may_have_run =
         pending.may_have_run || pending.request.operation != Operation::READ;
-    if (!IsRepeatable(pending.request)) {
+    if (!IsRetryable(pending.request)) {
       unknown.push_back(id);
       continue;
     }
@@ -278,7 +279,7 @@
     Refuse(id, ResultCode::kOutcomeUnknown, now);
 }
 
-bool Ingress::CallerInForce(const Pending& pending) const {
+bool Ingress::KeyIsValid(const Pending& pending) const {
   const policy::AccessDecision& access = pending.access;
   return access.key_name.empty() ||
          view_->configuration().KeyInForceFor(access.key_name, access.customer);
@@ -296,8 +297,8 @@
 
 void Ingress::Refuse(std::int64_t id, ResultCode code, Time now) {
   CallerAnswer answer;
-  // A refusal that the coordinator means for its own attempt is not the truth
-  // about an earlier attempt.
+  // A refusal applies only to the coordinator's own attempt. An earlier attempt
+  // may have run.
   const bool earlier_attempt =
       pending_.at(id).may_have_run && InfoOf(code).outcome == Outcome::kNotRun;
   answer.code = earlier_attempt ? ResultCode::kOutcomeUnknown : code;
--- a/entry/src/view.cc
+++ b/entry/src/view.cc
@@ -13,8 +13,8 @@
     session_secret_ = update.session_secret;
     changed = true;
   }
-  // An update meant for an earlier process of this instance starts from a
-  // revision that this one has not seen.
+  // An update for an earlier process of this instance can start from a revision
+  // that this process does not have.
   if (update.groups_revision <= groups_revision_ ||
       update.base_groups_revision > groups_revision_)
     return changed;
--- a/entry/tests/control_client_test.cc
+++ b/entry/tests/control_client_test.cc
@@ -6,10 +6,10 @@
 
 using std::chrono::milliseconds;
 
-TEST_CASE("Leases count from the sending of the report that was answered",
+TEST_CASE("Leases start when the answered report was sent",
           "[entry][guarantee]") {
-  // Guards against a lease that outlasts what control counts, by the time that
-  // the report or its answer was on the way.
+  // Guards against a lease that lasts longer here than at control, by the
+  // transit time of the report and its answer.
   View view;
   quota::Holder holder;
   ControlClientOptions options;
@@ -33,12 +33,12 @@
   REQUIRE(result.leases.size() == 1);
   CHECK(result.leases.front().second == sent + milliseconds(1200));
 
-  SECTION("and an answer of an earlier leader gives none") {
+  SECTION("an answer of an earlier leader grants no lease") {
     update.leader_term = 1;
     ++update.report_sequence;
     CHECK_FALSE(client.OnUpdate(update, sent + milliseconds(950)).accepted);
   }
-  SECTION("and an update that answers no report gives none") {
+  SECTION("an update that answers no report grants no lease") {
     update.report_sequence = 0;
     const auto pushed = client.OnUpdate(update, sent + milliseconds(950));
     CHECK(!pushed.control_lease_until);
--- a/entry/tests/ingress_test.cc
+++ b/entry/tests/ingress_test.cc
@@ -10,10 +10,10 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// An ingress whose coordinators the test answers for.
-class Bench {
+// An ingress with one customer, key and group. The test acts as coordinator.
+class IngressFixture {
  public:
-  Bench()
+  IngressFixture()
       : ingress_(&view_, &holder_, {}, [](std::size_t count) {
           return std::string(count, 'r');
         }) {
@@ -41,30 +41,30 @@
     endpoint.endpoint = "a";
     endpoint.group = "bookings";
     update_.endpoints = {endpoint};
-    Assign("e1", 1);
+    AssignCoordinator("e1", 1);
     ingress_.SetControlLease(kNever);
   }
 
-  void Assign(const std::string& coordinator, std::int64_t epoch) {
+  void AssignCoordinator(const std::string& coordinator, std::int64_t epoch) {
     messages::GroupState group;
     group.group = "bookings";
     group.coordinator = coordinator;
     group.coordinator_epoch = epoch;
     group.revision = ++update_.groups_revision;
     update_.groups = {group};
-    Update();
+    ApplyUpdate();
   }
   void WithdrawKey() {
     messages::Object& key = update_.objects[1];
     key.deleted = true;
     key.revision = update_.revision = 2;
-    Update();
+    ApplyUpdate();
   }
-  void Update() {
+  void ApplyUpdate() {
     view_.Merge(update_);
-    Take(ingress_.OnViewChange(now));
+    RecordEffects(ingress_.OnViewChange(now));
   }
-  void Write(const std::string& request_id) {
+  void SendWrite(const std::string& request_id) {
     CallerRequest request;
     request.id = 1;
     request.operation = messages::Operation::WRITE;
@@ -73,28 +73,28 @@
     request.statement = "set a 1";
     request.request_id = request_id;
     request.timeout = seconds(1);
-    Take(ingress_.OnRequest(request, now));
+    RecordEffects(ingress_.OnRequest(request, now));
   }
   void Respond(const std::string& from, ResultCode code) {
     messages::ForwardResponse response;
     response.id = 1;
     response.code = ToNumber(code);
-    Take(ingress_.OnResponse(from, response, now));
+    RecordEffects(ingress_.OnResponse(from, response, now));
   }
   void Tick(Duration after) {
     now += after;
-    Take(ingress_.Tick(now));
+    RecordEffects(ingress_.Tick(now));
   }
-  void Limit(std::int64_t rate_micros) {
+  void SetRateLimit(std::int64_t rate_micros) {
     holder_.SetLimit("town-hall", quota::Limit{rate_micros, rate_micros});
   }
 
   Time now = Time(seconds(1));
-  std::vector<std::string> forwards;  // to these coordinators
-  std::optional<ResultCode> code;     // of the answer
+  std::vector<std::string> forwards;  // coordinators, in order of forwarding
+  std::optional<ResultCode> code;     // of the last answer
 
  private:
-  void Take(const IngressEffects& effects) {
+  void RecordEffects(const IngressEffects& effects) {
     for (const auto& [to, forward] : effects.forwards)
       forwards.push_back(to);
     for (const CallerAnswer& answer : effects.answers)
@@ -109,55 +109,56 @@
 
 }  // namespace
 
-TEST_CASE("A second coordinator's refusal is not the truth about the first",
+TEST_CASE("A second coordinator's refusal does not settle the first attempt",
           "[entry][guarantee]") {
-  // Guards against "not run" for a write that the first coordinator sent.
-  Bench bench;
-  bench.Write("w1");
-  bench.Assign("e2", 2);
-  REQUIRE(bench.forwards == std::vector<std::string>{"e1", "e2"});
+  // Guards against answering "not run" for a write that the first coordinator
+  // may have sent to the endpoint.
+  IngressFixture fixture;
+  fixture.SendWrite("w1");
+  fixture.AssignCoordinator("e2", 2);
+  REQUIRE(fixture.forwards == std::vector<std::string>{"e1", "e2"});
 
-  SECTION("when the second one refuses") {
-    bench.Respond("e2", ResultCode::kQueueFull);
-    CHECK(bench.code == ResultCode::kOutcomeUnknown);
+  SECTION("when the second coordinator refuses") {
+    fixture.Respond("e2", ResultCode::kQueueFull);
+    CHECK(fixture.code == ResultCode::kOutcomeUnknown);
   }
   SECTION("when no other coordinator takes it by its deadline") {
-    bench.Respond("e2", ResultCode::kCoordinatorMoved);
-    bench.Assign("", 3);
-    bench.Tick(seconds(1));
-    CHECK(bench.code == ResultCode::kOutcomeUnknown);
+    fixture.Respond("e2", ResultCode::kCoordinatorMoved);
+    fixture.AssignCoordinator("", 3);
+    fixture.Tick(seconds(1));
+    CHECK(fixture.code == ResultCode::kOutcomeUnknown);
   }
-  SECTION("a late answer of the first one is for nobody") {
-    bench.Respond("e1", ResultCode::kOk);
-    CHECK(!bench.code);
+  SECTION("a late answer of the first coordinator is ignored") {
+    fixture.Respond("e1", ResultCode::kOk);
+    CHECK(!fixture.code);
   }
 }
 
-TEST_CASE("A write without an id goes to one coordinator only",
+TEST_CASE("A write without a request id goes to one coordinator only",
           "[entry][guarantee]") {
-  Bench bench;
-  bench.Write("");
-  bench.Assign("e2", 2);
-  CHECK(bench.forwards == std::vector<std::string>{"e1"});
-  CHECK(bench.code == ResultCode::kOutcomeUnknown);
+  IngressFixture fixture;
+  fixture.SendWrite("");
+  fixture.AssignCoordinator("e2", 2);
+  CHECK(fixture.forwards == std::vector<std::string>{"e1"});
+  CHECK(fixture.code == ResultCode::kOutcomeUnknown);
 }
 
-TEST_CASE("A request that waits at the edge ends with its key",
+TEST_CASE("A waiting request is refused when its key is withdrawn",
           "[entry][guarantee]") {
-  Bench bench;
+  IngressFixture fixture;
   SECTION("while it waits for a coordinator") {
-    bench.Assign("", 2);
-    bench.Write("w1");
-    bench.WithdrawKey();
+    fixture.AssignCoordinator("", 2);
+    fixture.SendWrite("w1");
+    fixture.WithdrawKey();
   }
-  SECTION("while it waits for its customer's rate") {
-    bench.Limit(1'000'000);
-    bench.Write("w1");
-    CHECK(!bench.code);
-    bench.WithdrawKey();
+  SECTION("while it waits for its customer's quota") {
+    fixture.SetRateLimit(1'000'000);
+    fixture.SendWrite("w1");
+    CHECK(!fixture.code);
+    fixture.WithdrawKey();
   }
-  CHECK(bench.forwards.empty());
-  CHECK(bench.code == ResultCode::kKeyWithdrawn);
+  CHECK(fixture.forwards.empty());
+  CHECK(fixture.code == ResultCode::kKeyWithdrawn);
 }
 
 }  // namespace goldcrest::entry
