--- a/entry/include/goldcrest/entry/entry_node.h
+++ b/entry/include/goldcrest/entry/entry_node.h
@@ -86,7 +86,7 @@
   //! requests are still served.
   void BeginDrain();
   //! Reports that all caller connections are closed, so no request can arrive.
-  void OnCallersGone() { callers_gone_ = true; }
+  void OnCallerConnectionsClosed() { caller_connections_closed_ = true; }
   //! True once nothing runs here and a report of this has been sent to control.
   bool IsDrained() const { return stop_reported_; }
 
@@ -142,7 +142,7 @@
   std::uint64_t next_call_id_ = 1;
   control::LimitRefresher limits_;
   bool draining_ = false;
-  bool callers_gone_ = false;
+  bool caller_connections_closed_ = false;
   bool stop_reported_ = false;
   EntryEffects effects_;
 };
--- a/entry/src/entry_node.cc
+++ b/entry/src/entry_node.cc
@@ -314,7 +314,7 @@
   // pointless: all control members may be stopping.
   handed_over = handed_over || !ingress_.HasControlLease(now);
   const bool stopped = draining_ && coordinators_.empty() && handed_over &&
-                       ingress_.InFlight() == 0 && callers_gone_;
+                       ingress_.InFlight() == 0 && caller_connections_closed_;
   auto report =
       client_.MaybeReport(std::move(reports), draining_, stopped, now);
   if (!report)
--- a/programs/goldcrestd/daemon.cc
+++ b/programs/goldcrestd/daemon.cc
@@ -350,7 +350,7 @@
   bool drained = false;
   {
     const std::lock_guard lock(entry_mutex_);
-    entry_->OnCallersGone();
+    entry_->OnCallerConnectionsClosed();
     drained = entry_->IsDrained();
   }
   if (!drained || on_drained_ == nullptr)
--- a/sessions/src/fleet_faults.cc
+++ b/sessions/src/fleet_faults.cc
@@ -67,7 +67,7 @@
   Note("drain " + instance);
   Node& node = nodes_.at(instance);
   node.entry->BeginDrain();
-  node.entry->OnCallersGone();
+  node.entry->OnCallerConnectionsClosed();
   if (node.control != nullptr)
     CarryOut(instance, node.control->TransferLeadership(now_));
 }
