--- a/bench/control_cost.cc
+++ b/bench/control_cost.cc
@@ -16,7 +16,7 @@
 #include "bench/objects.h"
 #include "goldcrest/control/control_state.h"
 #include "goldcrest/control/leader.h"
-#include "goldcrest/entry/view.h"
+#include "goldcrest/entry/control_view.h"
 #include "goldcrest/messages/codec.h"
 #include "goldcrest/sessions/fleet.h"
 #include "goldcrest/storage/log_store.h"
@@ -139,7 +139,7 @@
   const std::string bytes = messages::Encode(update);
   std::size_t merged = 0;
   const double merge = MicrosPerCall([&] {
-    entry::View view;
+    entry::ControlView view;
     messages::ControlUpdate full = update.update;
     full.base_groups_revision = 0;
     merged += view.Merge(full) ? 1 : 0;
--- a/entry/include/goldcrest/entry/control_client.h
+++ b/entry/include/goldcrest/entry/control_client.h
@@ -10,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-#include "goldcrest/entry/view.h"
+#include "goldcrest/entry/control_view.h"
 #include "goldcrest/messages/messages.h"
 #include "goldcrest/quota/holder.h"
 #include "goldcrest/types/time.h"
@@ -38,7 +38,7 @@
     std::vector<std::pair<messages::CoordinatorLease, Time>> leases;
   };
 
-  ControlClient(View* view,
+  ControlClient(ControlView* view,
                 quota::Holder* holder,
                 ControlClientOptions options);
 
@@ -66,7 +66,7 @@
  private:
   void AskNextMember();
 
-  View* view_;
+  ControlView* view_;
   quota::Holder* holder_;
   ControlClientOptions options_;
   std::string target_;
--- a/entry/include/goldcrest/entry/view.h
+++ b/entry/include/goldcrest/entry/control_view.h
@@ -1,5 +1,5 @@
-#ifndef GOLDCREST_ENTRY_VIEW_H_
-#define GOLDCREST_ENTRY_VIEW_H_
+#ifndef GOLDCREST_ENTRY_CONTROL_VIEW_H_
+#define GOLDCREST_ENTRY_CONTROL_VIEW_H_
 
 #include <cstdint>
 #include <map>
@@ -14,7 +14,7 @@
 
 //! An entry's copy of the state that control has logged. Only ControlClient
 //! updates it.
-class View {
+class ControlView {
  public:
   //! Merges newer state. Returns false if nothing changed.
   bool Merge(const messages::ControlUpdate& update);
@@ -46,4 +46,4 @@
 
 }  // namespace goldcrest::entry
 
-#endif  // GOLDCREST_ENTRY_VIEW_H_
+#endif  // GOLDCREST_ENTRY_CONTROL_VIEW_H_
--- a/entry/include/goldcrest/entry/entry_node.h
+++ b/entry/include/goldcrest/entry/entry_node.h
@@ -14,8 +14,8 @@
 #include "goldcrest/coordinator/group_coordinator.h"
 #include "goldcrest/entry/caller_request.h"
 #include "goldcrest/entry/control_client.h"
+#include "goldcrest/entry/control_view.h"
 #include "goldcrest/entry/ingress.h"
-#include "goldcrest/entry/view.h"
 #include "goldcrest/messages/messages.h"
 #include "goldcrest/quota/holder.h"
 
@@ -90,7 +90,7 @@
   //! True once nothing runs here and a report of this has been sent to control.
   bool IsDrained() const { return stop_reported_; }
 
-  const View& view() const { return view_; }
+  const ControlView& view() const { return view_; }
   const std::map<std::string, std::unique_ptr<coordinator::GroupCoordinator>>&
   coordinators() const {
     return coordinators_;
@@ -127,7 +127,7 @@
 
   EntryNodeOptions options_;
   EntryNodeHooks hooks_;
-  View view_;
+  ControlView view_;
   quota::Holder holder_;
   Ingress ingress_;
   ControlClient client_;
--- a/entry/include/goldcrest/entry/ingress.h
+++ b/entry/include/goldcrest/entry/ingress.h
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "goldcrest/entry/caller_request.h"
-#include "goldcrest/entry/view.h"
+#include "goldcrest/entry/control_view.h"
 #include "goldcrest/policy/access_decision.h"
 #include "goldcrest/quota/holder.h"
 #include "goldcrest/session/marks.h"
@@ -42,7 +42,7 @@
  public:
   //! `view` and `holder` must outlive the ingress. `random_bytes` returns the
   //! given number of random bytes.
-  Ingress(const View* view,
+  Ingress(const ControlView* view,
           quota::Holder* holder,
           IngressOptions options,
           std::function<std::string(std::size_t)> random_bytes);
@@ -103,7 +103,7 @@
   std::array<std::uint8_t, session::TokenSealer::kNonceBytes> NextNonce();
   IngressEffects TakeEffects();
 
-  const View* view_;
+  const ControlView* view_;
   quota::Holder* holder_;
   IngressOptions options_;
   std::function<std::string(std::size_t)> random_bytes_;
--- a/entry/src/control_client.cc
+++ b/entry/src/control_client.cc
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-ControlClient::ControlClient(View* view,
+ControlClient::ControlClient(ControlView* view,
                              quota::Holder* holder,
                              ControlClientOptions options)
     : view_(view), holder_(holder), options_(std::move(options)) {
--- a/entry/src/view.cc
+++ b/entry/src/control_view.cc
@@ -1,8 +1,8 @@
-#include "goldcrest/entry/view.h"
+#include "goldcrest/entry/control_view.h"
 
 namespace goldcrest::entry {
 
-bool View::Merge(const messages::ControlUpdate& update) {
+bool ControlView::Merge(const messages::ControlUpdate& update) {
   bool changed = false;
   const std::int64_t before = configuration_.Revision();
   if (update.revision > before)
@@ -31,19 +31,20 @@
   return true;
 }
 
-const messages::GroupState* View::FindGroup(const std::string& group) const {
+const messages::GroupState* ControlView::FindGroup(
+    const std::string& group) const {
   const auto it = groups_.find(group);
   return it == groups_.end() ? nullptr : &it->second;
 }
 
-const std::vector<messages::EndpointInfo>& View::EndpointsOf(
+const std::vector<messages::EndpointInfo>& ControlView::EndpointsOf(
     const std::string& group) const {
   static const std::vector<messages::EndpointInfo> none;
   const auto it = endpoints_.find(group);
   return it == endpoints_.end() ? none : it->second;
 }
 
-const messages::EndpointInfo* View::FindEndpoint(
+const messages::EndpointInfo* ControlView::FindEndpoint(
     const std::string& endpoint) const {
   for (const auto& [group, endpoints] : endpoints_) {
     for (const messages::EndpointInfo& info : endpoints) {
--- a/entry/src/ingress.cc
+++ b/entry/src/ingress.cc
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-Ingress::Ingress(const View* view,
+Ingress::Ingress(const ControlView* view,
                  quota::Holder* holder,
                  IngressOptions options,
                  std::function<std::string(std::size_t)> random_bytes)
--- a/entry/tests/control_client_test.cc
+++ b/entry/tests/control_client_test.cc
@@ -10,7 +10,7 @@
           "[entry][guarantee]") {
   // Guards against a lease that lasts longer here than at control, by the
   // transit time of the report and its answer.
-  View view;
+  ControlView view;
   quota::Holder holder;
   ControlClientOptions options;
   options.control_members = {"e1"};
--- a/entry/tests/ingress_test.cc
+++ b/entry/tests/ingress_test.cc
@@ -102,7 +102,7 @@
   }
 
   messages::ControlUpdate update_;
-  View view_;
+  ControlView view_;
   quota::Holder holder_;
   Ingress ingress_;
 };
