--- a/coordinator/include/goldcrest/coordinator/member_table.h
+++ b/coordinator/include/goldcrest/coordinator/member_table.h
@@ -47,7 +47,7 @@
                 Time now);
 
   //! Records an answer that holds no log position.
-  void OnAlive(const std::string& endpoint, Time now);
+  void OnAnswerWithoutPosition(const std::string& endpoint, Time now);
 
   Member* Find(const std::string& endpoint);
   const Member* Find(const std::string& endpoint) const;
--- a/coordinator/src/group_coordinator_calls.cc
+++ b/coordinator/src/group_coordinator_calls.cc
@@ -57,7 +57,7 @@
       it->second.ReleaseSlot(false);
   }
   if (result.delivery == Delivery::kAnswered)
-    members_.OnAlive(call.endpoint, now);
+    members_.OnAnswerWithoutPosition(call.endpoint, now);
   Request* request = requests_.Find(call.request);
   if (request == nullptr)
     return;
--- a/coordinator/src/group_coordinator_primary.cc
+++ b/coordinator/src/group_coordinator_primary.cc
@@ -272,7 +272,8 @@
                                              primary(), excluded_primary_);
   if (!chosen) {
     // The excluded primary may be the only member that holds all writes. If it
-    // answers again, it may be chosen.
+    // answers again, it may be chosen, because the group would have no primary
+    // otherwise.
     excluded_primary_.clear();
     return;
   }
--- a/coordinator/src/member_table.cc
+++ b/coordinator/src/member_table.cc
@@ -54,7 +54,8 @@
     member->last_progress = now;
 }
 
-void MemberTable::OnAlive(const std::string& endpoint, Time now) {
+void MemberTable::OnAnswerWithoutPosition(const std::string& endpoint,
+                                          Time now) {
   Member* member = Find(endpoint);
   if (member != nullptr && member->last_answer)
     member->last_answer = now;
--- a/entry/src/control_client.cc
+++ b/entry/src/control_client.cc
@@ -13,7 +13,7 @@
 
 // Hints to an unresponsive member are ignored for this long. Followers name a
 // failed leader until they have elected another one; following such a hint
-// costs one more answer timeout, and a coordinator's lease would expire.
+// costs one more answer timeout, too long for a coordinator's lease.
 constexpr Duration kUnresponsiveMemberBackoff = std::chrono::seconds(1);
 
 // Delay before the first report to a new target, so that an election does not
--- a/entry/src/ingress.cc
+++ b/entry/src/ingress.cc
@@ -12,7 +12,7 @@
 constexpr std::int64_t kMicrosPerRequest = 1'000'000;
 
 // A nonce consists of a random prefix and a counter. Fully random nonces would
-// repeat after about 2^32 tokens of all instances; a prefix is drawn only once
+// collide after about 2^32 tokens of all instances; a prefix is drawn only once
 // per process and per 2^32 tokens.
 constexpr std::size_t kNoncePrefixBytes = 8;
 
