--- a/coordinator/src/member_table.cc
+++ b/coordinator/src/member_table.cc
@@ -54,7 +54,8 @@
     member->last_progress = now;
 }
 
-void MemberTable::OnAlive(const std::string& endpoint, Time now) {
+void MemberTable::OnAnswerWithoutPosition(const std::string& endpoint,
+                                          Time now) {
   Member* member = Find(endpoint);
   if (member != nullptr && member->last_answer)
     member->last_answer = now;
@@ -113,9 +114,9 @@
   if (best == nullptr)
     return std::nullopt;
 
-  // A set of this size shares a member with every majority. A member that is
-  // ahead of the best candidate may hold what the candidate lacks, so it does
-  // not count.
+  // A set of `needed` members intersects every majority. Members ahead of the
+  // best candidate may hold writes that the candidate lacks, so they do not
+  // count.
   const std::size_t needed = members_.size() - Majority() + 1;
   std::size_t not_ahead = 0;
   for (const auto& [name, member] : members_) {
--- a/entry/include/goldcrest/entry/view.h
+++ b/entry/include/goldcrest/entry/control_view.h
@@ -1,5 +1,5 @@
-#ifndef GOLDCREST_ENTRY_VIEW_H_
-#define GOLDCREST_ENTRY_VIEW_H_
+#ifndef GOLDCREST_ENTRY_CONTROL_VIEW_H_
+#define GOLDCREST_ENTRY_CONTROL_VIEW_H_
 
 #include <cstdint>
 #include <map>
@@ -12,10 +12,11 @@
 
 namespace goldcrest::entry {
 
-//! An entry's copy of what control has logged. Filled by ControlClient only.
-class View {
+//! An entry's copy of the state that control has logged. Only ControlClient
+//! updates it.
+class ControlView {
  public:
-  //! Merges newer state. False when nothing was new.
+  //! Merges newer state. Returns false if nothing changed.
   bool Merge(const messages::ControlUpdate& update);
 
   policy::Configuration& configuration() { return configuration_; }
@@ -45,4 +46,4 @@
 
 }  // namespace goldcrest::entry
 
-#endif  // GOLDCREST_ENTRY_VIEW_H_
+#endif  // GOLDCREST_ENTRY_CONTROL_VIEW_H_
--- a/entry/src/view.cc
+++ b/entry/src/control_view.cc
@@ -1,8 +1,8 @@
-#include "goldcrest/entry/view.h"
+#include "goldcrest/entry/control_view.h"
 
 namespace goldcrest::entry {
 
-bool View::Merge(const messages::ControlUpdate& update) {
+bool ControlView::Merge(const messages::ControlUpdate& update) {
   bool changed = false;
   const std::int64_t before = configuration_.Revision();
   if (update.revision > before)
@@ -13,8 +13,8 @@
     session_secret_ = update.session_secret;
     changed = true;
   }
-  // An update meant for an earlier process of this instance starts from a
-  // revision that this one has not seen.
+  // An update for an earlier process of this instance can start from a revision
+  // that this process does not have.
   if (update.groups_revision <= groups_revision_ ||
       update.base_groups_revision > groups_revision_)
     return changed;
@@ -31,19 +31,20 @@
   return true;
 }
 
-const messages::GroupState* View::FindGroup(const std::string& group) const {
+const messages::GroupState* ControlView::FindGroup(
+    const std::string& group) const {
   const auto it = groups_.find(group);
   return it == groups_.end() ? nullptr : &it->second;
 }
 
-const std::vector<messages::EndpointInfo>& View::EndpointsOf(
+const std::vector<messages::EndpointInfo>& ControlView::EndpointsOf(
     const std::string& group) const {
   static const std::vector<messages::EndpointInfo> none;
   const auto it = endpoints_.find(group);
   return it == endpoints_.end() ? none : it->second;
 }
 
-const messages::EndpointInfo* View::FindEndpoint(
+const messages::EndpointInfo* ControlView::FindEndpoint(
     const std::string& endpoint) const {
   for (const auto& [group, endpoints] : endpoints_) {
     for (const messages::EndpointInfo& info : endpoints) {
