--- a/fleet/src/controller_leadership.cc
+++ b/fleet/src/controller_leadership.cc
@@ -12,7 +12,7 @@
 constexpr Duration kMembershipInterval = std::chrono::milliseconds(200);
 
 // Twice the time after which a share lapses.
-constexpr Duration kHolderExpiry = 2 * quota::kShareLapse;
+constexpr Duration kHolderExpiry = 2 * quota::kShareExpiry;
 
 }  // namespace
 
@@ -101,7 +101,7 @@
 // latest.
 void Controller::RestoreReserve(Time now) {
   if (state_.reserve_used() && !leadership_->reserve_told &&
-      now - leadership_->reserve_since >= quota::kReserveRest)
+      now - leadership_->reserve_since >= quota::kReserveGrantInterval)
     TellReserve(now, false);
 }
 
--- a/fleet/tests/controller_test.cc
+++ b/fleet/tests/controller_test.cc
@@ -330,7 +330,7 @@
     cluster.Run(milliseconds(300));
     CHECK(cluster.reserves == 1);
   }
-  cluster.Run(quota::kReserveRest + seconds(1));
+  cluster.Run(quota::kReserveGrantInterval + seconds(1));
   CHECK(cluster.reserves == 1);
   cluster.Stop(cluster.Leader());
   cluster.Run(seconds(2));
--- a/quota/include/goldcrest/quota/limit.h
+++ b/quota/include/goldcrest/quota/limit.h
@@ -17,18 +17,18 @@
 
 //! How long the owner counts a share as held after it answered a report. The
 //! margin of 10% covers clocks that run at different speeds.
-inline constexpr Duration kShareLapse = kShareLease + kShareLease / 10;
+inline constexpr Duration kShareExpiry = kShareLease + kShareLease / 10;
 
 //! Regular interval of reports.
 inline constexpr Duration kReportInterval = std::chrono::milliseconds(250);
 
 //! How long a new owner may give out the reserves of limits.
-inline constexpr Duration kReserveUse = std::chrono::seconds(5);
+inline constexpr Duration kReserveValidity = std::chrono::seconds(5);
 
 //! From one grant of the reserves to the next: tokens of the first have lapsed,
-//! and no judged window of kReserveUse reaches both.
-inline constexpr Duration kReserveRest =
-    kReserveUse + kReserveUse + kShareLapse;
+//! and no judged window of kReserveValidity reaches both.
+inline constexpr Duration kReserveGrantInterval =
+    kReserveValidity + kReserveValidity + kShareExpiry;
 
 //! How often a report names a share without news; several times a lease.
 inline constexpr Duration kShareInterval = std::chrono::seconds(1);
--- a/quota/include/goldcrest/quota/owner.h
+++ b/quota/include/goldcrest/quota/owner.h
@@ -35,8 +35,8 @@
   void SetLimit(Time now, const std::string& customer, Limit limit);
 
   //! Adds the reserve of each limit to what may be given out, for
-  //! kReserveUse from now on. The caller sees to it that no two owners do so
-  //! within kReserveRest.
+  //! kReserveValidity from now on. The caller sees to it that no two owners do
+  //! so within kReserveGrantInterval.
   void GrantReserve(Time now);
 
   //! The customer has no limit any more.
--- a/quota/src/owner.cc
+++ b/quota/src/owner.cc
@@ -77,7 +77,7 @@
 Owner::Owner(std::int64_t term,
              Time takeover,
              const std::map<std::string, std::int64_t>& registered)
-    : term_(term), ready_at_(takeover + kShareLapse) {
+    : term_(term), ready_at_(takeover + kShareExpiry) {
   for (const auto& [name, incarnation] : registered) {
     instances_[name].incarnation = incarnation;
   }
@@ -425,7 +425,7 @@
       bucket.level_micros = std::min(bucket.level_micros, FreeCapacity(bucket));
     }
   }
-  share.lease_end = now + kShareLapse;
+  share.lease_end = now + kShareExpiry;
   bucket.next_lapse = std::min(bucket.next_lapse, share.lease_end);
   const Grant& grant = share.sent ? *share.sent : share.confirmed;
   if (grant.sequence == 0) {
--- a/quota/src/owner_takeover.cc
+++ b/quota/src/owner_takeover.cc
@@ -19,7 +19,7 @@
 }  // namespace
 
 void Owner::GrantReserve(Time now) {
-  reserve_until_ = now + kReserveUse;
+  reserve_until_ = now + kReserveValidity;
   for (auto& [customer, bucket] : buckets_) {
     Advance(bucket, now);
     if (!bucket.limit)
@@ -125,7 +125,7 @@
     share.confirmed.rate_micros = report.rate_micros;
     share.confirmed.capacity_micros = report.capacity_micros;
     share.level_bound = report.level_micros;
-    share.lease_end = now + kShareLapse;
+    share.lease_end = now + kShareExpiry;
     bucket.next_lapse = std::min(bucket.next_lapse, share.lease_end);
     AddTotals(bucket, share, 1);
     bucket.shares[ShareKey(name, instance.incarnation)] = share;
--- a/quota/tests/share_test.cc
+++ b/quota/tests/share_test.cc
@@ -78,8 +78,8 @@
   for (int exchange = 0; exchange < 2; ++exchange) {
     Exchange(holder, owner, kStart, "entry");
   }
-  CHECK_FALSE(owner.Ready(kStart + kShareLapse - Duration(1)));
-  CHECK(owner.Ready(kStart + kShareLapse));
+  CHECK_FALSE(owner.Ready(kStart + kShareExpiry - Duration(1)));
+  CHECK(owner.Ready(kStart + kShareExpiry));
 }
 
 // Guards against tokens that an entry takes just before its share lapses and
@@ -108,7 +108,7 @@
   }
   const int taken = TakeAll(lost, last_report + kShareLease - Duration(1));
   CHECK(taken >= 30);
-  now = last_report + kShareLapse;
+  now = last_report + kShareExpiry;
   for (int request = 0; request < 60; ++request) {
     other.Wait(now, kCustomer);
   }
--- a/quota/tests/strictness_test.cc
+++ b/quota/tests/strictness_test.cc
@@ -21,8 +21,8 @@
 
 // Checks what a fleet takes. Without a reserve, all intervals at once: requests
 // conform to rate * length + burst in every interval exactly if a bucket that
-// starts full never runs below zero. With one, each span of kReserveUse, which
-// may hold rate * length + burst + reserve.
+// starts full never runs below zero. With one, each span of kReserveValidity,
+// which may hold rate * length + burst + reserve.
 class Auditor {
  public:
   explicit Auditor(Limit limit) : limit_(limit), level_(limit.burst_micros) {}
@@ -41,9 +41,9 @@
  private:
   bool TakeInSpan(Time now) {
     taken_.push_back(now);
-    while (taken_.front() <= now - kReserveUse)
+    while (taken_.front() <= now - kReserveValidity)
       taken_.pop_front();
-    const std::int64_t seconds = kReserveUse / std::chrono::seconds(1);
+    const std::int64_t seconds = kReserveValidity / std::chrono::seconds(1);
     return static_cast<std::int64_t>(taken_.size()) * kRequestMicros <=
            limit_.rate_micros * seconds + limit_.burst_micros +
                limit_.reserve_micros;
@@ -53,7 +53,7 @@
   Time at_;
   std::int64_t level_;
   std::int64_t remainder_ = 0;
-  std::deque<Time> taken_;  // in the last kReserveUse
+  std::deque<Time> taken_;  // in the last kReserveValidity
 };
 
 struct Faults {
@@ -146,7 +146,7 @@
     if (now_ < reserve_due_) {
       return;
     }
-    reserve_due_ = now_ + kReserveRest;
+    reserve_due_ = now_ + kReserveGrantInterval;
     owner_->GrantReserve(now_);
   }
 
--- a/quota/tests/takeover_test.cc
+++ b/quota/tests/takeover_test.cc
@@ -68,7 +68,7 @@
     CHECK(TokensFor(owner, kStart + milliseconds(1), "entry1") == 0);
   }
   SECTION("and not after its time") {
-    CHECK(TokensFor(owner, kStart + kReserveUse, "entry0") == 0);
+    CHECK(TokensFor(owner, kStart + kReserveValidity, "entry0") == 0);
   }
 }
 
