--- a/bench/quota_bench.cc
+++ b/bench/quota_bench.cc
@@ -206,7 +206,7 @@
     return entries_[entry].holder->TryTake(now_, NameOf(customer));
   }
   void Wait(std::size_t entry, std::size_t customer) {
-    entries_[entry].holder->Wait(now_, NameOf(customer));
+    entries_[entry].holder->StartWaiting(now_, NameOf(customer));
   }
   bool TryTakeWaiting(std::size_t entry, std::size_t customer) {
     return entries_[entry].holder->TryTakeWaiting(now_, NameOf(customer));
--- a/entry/src/ingress.cc
+++ b/entry/src/ingress.cc
@@ -46,7 +46,7 @@
     pending.state = State::kWaitingForToken;
     pending.token_deadline =
         std::min(pending.deadline, now + options_.quota_wait);
-    holder_->Wait(now, customer);
+    holder_->StartWaiting(now, customer);
     token_waiters_[customer].push_back(id);
     return TakeEffects();
   }
--- a/programs/goldcrestd/entry_service_peers.cc
+++ b/programs/goldcrestd/entry_service_peers.cc
@@ -112,7 +112,8 @@
   report.document_version = proxy_.Version();
   report.wants_document = wants_document;
   report.first = !controllers_[controller].reported_first;
-  report.quiet_micros = proxy_.holder().QuietFor(now, started_at_).count();
+  report.quiet_micros =
+      proxy_.holder().TimeSinceLastTake(now, started_at_).count();
   if (controller == leader_) {
     report.shares = proxy_.holder().Report(now);
     std::vector<messages::PrimaryContact> told = proxy_.Contacts(now);
--- a/quota/include/goldcrest/quota/holder.h
+++ b/quota/include/goldcrest/quota/holder.h
@@ -17,9 +17,10 @@
 //! incarnation. Not thread-safe.
 //!
 //! A new request calls TryTake(). If that fails and the request may wait, call
-//! Wait() once, then TryTakeWaiting() after OnUpdates() and at NextTokenAt(),
-//! until it succeeds or the request gives up with StopWaiting(). Serve waiting
-//! requests before asking for a report, so that it tells what they have taken.
+//! StartWaiting() once, then TryTakeWaiting() after OnUpdates() and at
+//! NextTokenAt(), until it succeeds or the request gives up with StopWaiting().
+//! Serve waiting requests before asking for a report, so that it tells what
+//! they have taken.
 class Holder {
  public:
   //! Sets the limit of a customer. Without a limit (also before the first call)
@@ -31,7 +32,7 @@
   bool TryTake(Time now, const std::string& customer);
 
   //! One more request waits for a token. Makes a report due at once.
-  void Wait(Time now, const std::string& customer);
+  void StartWaiting(Time now, const std::string& customer);
 
   //! Takes one token for a request that waits; on success it waits no longer.
   bool TryTakeWaiting(Time now, const std::string& customer);
@@ -56,7 +57,7 @@
   std::vector<messages::ShareReport> Report(Time now);
 
   //! How long ago a token was taken last; `now - started` if none was.
-  Duration QuietFor(Time now, Time started) const;
+  Duration TimeSinceLastTake(Time now, Time started) const;
 
   //! Applies the answer to the report sent at `report_sent`. Repeated, late and
   //! reordered answers are recognised and do no harm.
--- a/quota/src/holder.cc
+++ b/quota/src/holder.cc
@@ -49,7 +49,7 @@
   return share.waiting == 0 && Take(share, now);
 }
 
-void Holder::Wait(Time now, const std::string& customer) {
+void Holder::StartWaiting(Time now, const std::string& customer) {
   ++shares_[customer].waiting;
   RequestReport(now);
 }
@@ -158,7 +158,7 @@
   }
 }
 
-Duration Holder::QuietFor(Time now, Time started) const {
+Duration Holder::TimeSinceLastTake(Time now, Time started) const {
   return now - last_taken_.value_or(started);
 }
 
--- a/quota/tests/lapse_test.cc
+++ b/quota/tests/lapse_test.cc
@@ -67,7 +67,7 @@
     }
     while (entry.busy && entry.waiting < 50) {
       ++entry.waiting;
-      entry.holder.Wait(now_, kCustomer);
+      entry.holder.StartWaiting(now_, kCustomer);
     }
     if (entry.cut || !entry.holder.ReportDue(now_))
       return taken;
--- a/quota/tests/share_test.cc
+++ b/quota/tests/share_test.cc
@@ -110,7 +110,7 @@
   CHECK(taken >= 30);
   now = last_report + kShareExpiry;
   for (int request = 0; request < 60; ++request) {
-    other.Wait(now, kCustomer);
+    other.StartWaiting(now, kCustomer);
   }
   int taken_after = 0;
   for (int exchange = 0; exchange < 4; ++exchange) {
@@ -170,7 +170,7 @@
     owner.Register(name, 1);
     holder.SetLimit(kCustomer, single);
     CHECK_FALSE(holder.TryTake(now, kCustomer));
-    holder.Wait(now, kCustomer);
+    holder.StartWaiting(now, kCustomer);
     for (int exchange = 0; exchange < 2; ++exchange) {
       Exchange(holder, owner, now, name);
     }
--- a/quota/tests/strictness_test.cc
+++ b/quota/tests/strictness_test.cc
@@ -216,7 +216,7 @@
       }
       if (entry.waiting < 3) {
         ++entry.waiting;
-        entry.holder->Wait(now_, kCustomer);
+        entry.holder->StartWaiting(now_, kCustomer);
       }
     }
     if (entry.holder->ReportDue(now_)) {
--- a/statements/src/proxy_admission.cc
+++ b/statements/src/proxy_admission.cc
@@ -37,7 +37,7 @@
     session.pending->counted = true;
     return true;
   }
-  holder_.Wait(now, session.customer);
+  holder_.StartWaiting(now, session.customer);
   token_waiters_.push_back(session.id);
   return false;
 }
