--- a/quota/include/goldcrest/quota/holder.h
+++ b/quota/include/goldcrest/quota/holder.h
@@ -13,14 +13,14 @@
 
 namespace goldcrest::quota {
 
-//! The shares of one entry. A new process starts with an empty Holder and a new
-//! incarnation. Not thread-safe.
+//! The shares of the customers' limits that one entry holds. A new process
+//! starts with an empty Holder and a new incarnation. Not thread-safe.
 //!
 //! A new request calls TryTake(). If that fails and the request may wait, call
 //! StartWaiting() once, then TryTakeWaiting() after OnUpdates() and at
 //! NextTokenAt(), until it succeeds or the request gives up with StopWaiting().
-//! Serve waiting requests before asking for a report, so that it tells what
-//! they have taken.
+//! Serve waiting requests before calling Report(), so that the report includes
+//! the tokens that they have taken.
 class Holder {
  public:
   //! Sets the limit of a customer. Without a limit (also before the first call)
@@ -31,65 +31,69 @@
   //! no whole token, or when earlier requests wait.
   bool TryTake(Time now, const std::string& customer);
 
-  //! One more request waits for a token. Makes a report due at once.
+  //! Counts one more request that waits for a token; does not block. Makes a
+  //! report due at once.
   void StartWaiting(Time now, const std::string& customer);
 
-  //! Takes one token for a request that waits; on success it waits no longer.
+  //! Takes one token for a waiting request, which then no longer counts as
+  //! waiting. Fails when there is no whole token.
   bool TryTakeWaiting(Time now, const std::string& customer);
 
-  //! A waiting request gave up.
+  //! Counts one waiting request less, after it gave up.
   void StopWaiting(const std::string& customer);
 
-  //! When the share's own rate yields the next whole token: `now` if there is
-  //! one already, kNever if the share never yields one.
+  //! When the share's own rate yields the next whole token: `now` if the share
+  //! has one already, kNever if its rate or capacity is too small for one.
   Time NextTokenAt(Time now, const std::string& customer);
 
   //! True when a report should be sent now.
   bool ReportDue(Time now) const;
 
-  //! The next time at which ReportDue() becomes true with no further event.
+  //! When ReportDue() becomes true if nothing else makes a report due earlier.
   Time NextReportAt() const;
 
-  //! What this entry holds and needs. The first element has an empty customer
-  //! and carries the newest owner term seen. A partial report leaves out shares
-  //! without news; an owner that does not know the others yet asks for a full
-  //! one. `now` is the report's sent time, which the answer echoes.
+  //! Reports the shares and the demand of this entry. The first element has an
+  //! empty customer and carries the newest owner term seen. A partial report
+  //! leaves out unchanged shares; an owner that does not know these yet asks
+  //! for a full report. `now` is the time at which the report is sent, which
+  //! the answer repeats.
   std::vector<messages::ShareReport> Report(Time now);
 
-  //! How long ago a token was taken last; `now - started` if none was.
+  //! How long ago the last token was taken; `now - started` if none was.
   Duration TimeSinceLastTake(Time now, Time started) const;
 
-  //! Applies the answer to the report sent at `report_sent`. Repeated, late and
-  //! reordered answers are recognised and do no harm.
+  //! Applies the answer to the report sent at `report_sent`. Duplicate, delayed
+  //! and reordered answers are detected and add no tokens.
   void OnUpdates(Time now,
                  Time report_sent,
                  const std::vector<messages::ShareUpdate>& updates);
 
-  //! Another owner answers from now on. Makes a report due at once, so that the
-  //! owner learns early what is held.
+  //! Call when reports go to another owner from now on. Makes a full report due
+  //! at once, so that the new owner learns early what this entry holds.
   void OnOwnerChange(Time now);
 
-  //! Gives up all shares for good (drain): limited requests are refused from
-  //! now on. Call before Owner::Release() is asked for.
+  //! Gives up all shares permanently, for a drain: requests of customers with
+  //! a limit are refused from now on. Call before Owner::Release() is called
+  //! for this instance.
   void Stop();
 
  private:
   struct Share {
     std::optional<Limit> limit;
-    std::int64_t term = 0;  // of the newest update applied, as is sequence
-    std::int64_t sequence = 0;
+    std::int64_t term = 0;      // of the newest update applied
+    std::int64_t sequence = 0;  // of the newest update applied
     std::int64_t rate_micros = 0;
     std::int64_t capacity_micros = 0;
     std::int64_t level_micros = 0;
-    std::int64_t remainder = 0;       // millionths of level_micros
-    std::int64_t ceiling_micros = 0;  // of the level when the update applied
-    std::int64_t surplus_micros = 0;  // tokens to hand back in the next report
+    std::int64_t remainder = 0;  // millionths of a micro-token; see Refill()
+    std::int64_t ceiling_micros = 0;  // maximum level set by the update
+    std::int64_t surplus_micros = 0;  // tokens to return with the next report
     Time refilled_at;
     Time lease_end;
-    double demand = 0;  // requests a second
+    double demand = 0;  // requests per second
     Time demand_at;
     std::int64_t waiting = 0;
-    bool changed = false;  // since the last report
+    bool changed = false;  // since the share was last reported
     Time reported_at;
     double reported_demand = 0;
   };
@@ -97,7 +101,7 @@
   static void Advance(Share& share, Time now);
   static void DecayDemand(Share& share, Time now);
   static bool IsIdle(const Share& share);
-  static bool HasNews(const Share& share, Time now);
+  static bool NeedsReport(const Share& share, Time now);
   bool Take(Share& share, Time now);
   void Apply(Share& share,
              Time now,
@@ -108,7 +112,7 @@
   std::map<std::string, Share> shares_;
   std::optional<Time> last_taken_;
   std::int64_t newest_term_ = 0;
-  bool full_due_ = true;  // the owner may not know all shares
+  bool full_report_due_ = true;  // the owner may not know all shares yet
   Time first_report_ = kNever;
   Time last_report_;
   Time next_report_;  // the first report is due at once
--- a/quota/internal/percent.h
+++ b/quota/internal/percent.h
@@ -5,7 +5,8 @@
 
 namespace goldcrest::quota {
 
-//! `percent` hundredths of `amount`, rounded towards zero, without overflow.
+//! Returns `percent` hundredths of `amount`, rounded towards zero. Does not
+//! overflow.
 inline std::int64_t Percent(std::int64_t amount, std::int64_t percent) {
   return static_cast<std::int64_t>(static_cast<__int128>(amount) * percent /
                                    100);
--- a/quota/src/holder.cc
+++ b/quota/src/holder.cc
@@ -7,25 +7,26 @@
 namespace goldcrest::quota {
 namespace {
 
-// Time constant of the demand estimate: after a step it has covered 63% in one
-// and 96% in three of these.
-constexpr std::chrono::duration<double> kDemandWindow =
+// Time constant of the exponential average that estimates the demand: it covers
+// 63% of a step in one and 96% in three time constants.
+constexpr std::chrono::duration<double> kDemandTimeConstant =
     std::chrono::milliseconds(300);
 
-// Below this demand, in requests a second, a customer counts as idle.
+// A customer with a demand below this, in requests per second, counts as idle.
 constexpr double kIdleDemand = 0.01;
 
-// Shortest time between two reports, which bounds the messages of an entry.
-constexpr Duration kMinReportGap = std::chrono::milliseconds(10);
+// Shortest time between two reports, which limits the message rate of an entry.
+constexpr Duration kMinReportInterval = std::chrono::milliseconds(10);
 
-// Shares with this demand, in requests a second, are named in each report: the
-// owner fits them to the demand each time, so that requests seldom wait.
-constexpr double kBusyDemand = 0.5;
+// A share with at least this demand, in requests per second, is part of each
+// report: the owner then adjusts it each time, so that requests seldom wait.
+constexpr double kAlwaysReportedDemand = 0.5;
 
-// A demand that has changed by this factor is news.
-constexpr double kDemandFactor = 2;
+// A demand that has changed by this factor since it was reported is reported
+// again.
+constexpr double kDemandChangeFactor = 2;
 
-// Interval of reports while requests wait and the owner had nothing to give.
+// Interval of reports while requests wait because the owner had no tokens.
 constexpr Duration kWaitingReportInterval = std::chrono::milliseconds(25);
 
 std::int64_t ToAmount(double requests) {
@@ -45,7 +46,7 @@
   }
   Share& share = found->second;
   DecayDemand(share, now);
-  share.demand += 1 / kDemandWindow.count();
+  share.demand += 1 / kDemandTimeConstant.count();
   return share.waiting == 0 && Take(share, now);
 }
 
@@ -93,7 +94,7 @@
 std::vector<messages::ShareReport> Holder::Report(Time now) {
   std::vector<messages::ShareReport> reports(1);
   reports.front().owner_term = newest_term_;
-  reports.front().partial = !full_due_;
+  reports.front().partial = !full_report_due_;
   bool waiting = false;
   for (auto& [customer, share] : shares_) {
     Advance(share, now);
@@ -101,7 +102,7 @@
     if (!share.limit || (IsIdle(share) && !share.changed)) {
       continue;
     }
-    if (!full_due_ && !HasNews(share, now)) {
+    if (!full_report_due_ && !NeedsReport(share, now)) {
       continue;
     }
     share.reported_at = now;
@@ -113,8 +114,8 @@
     report.rate_micros = share.rate_micros;
     report.capacity_micros = share.capacity_micros;
     // A level above the ceiling of the update tells the owner how many tokens
-    // the update cut off. It is sent once: a second report could be read as a
-    // second surplus by an owner that lost track.
+    // the ceiling cut off. It is sent once only: a new owner could count a
+    // second report of it as another surplus.
     report.level_micros = share.surplus_micros > 0
                               ? share.ceiling_micros + share.surplus_micros
                               : share.level_micros;
@@ -125,7 +126,7 @@
     waiting = waiting || share.waiting > 0;
     reports.push_back(std::move(report));
   }
-  full_due_ = false;
+  full_report_due_ = false;
   first_report_ = std::min(first_report_, now);
   last_report_ = now;
   next_report_ = now + (waiting ? kWaitingReportInterval : kReportInterval);
@@ -135,7 +136,7 @@
 void Holder::OnUpdates(Time now,
                        Time report_sent,
                        const std::vector<messages::ShareUpdate>& updates) {
-  // Answers to reports of an earlier incarnation are not for this process.
+  // Ignores answers to reports that an earlier process of the entry sent.
   if (stopped_ || report_sent < first_report_) {
     return;
   }
@@ -143,10 +144,10 @@
     if (update.owner_term < newest_term_) {
       continue;
     }
-    // A new owner, or one that has not had a full report yet.
+    // The owner is new, or has not received a full report yet.
     if (update.owner_term > newest_term_ || update.customer.empty()) {
       newest_term_ = update.owner_term;
-      full_due_ = true;
+      full_report_due_ = true;
       RequestReport(now);
     }
     const Time lease_end =
@@ -163,7 +164,7 @@
 }
 
 void Holder::OnOwnerChange(Time now) {
-  full_due_ = true;
+  full_report_due_ = true;
   RequestReport(now);
 }
 
@@ -177,8 +178,8 @@
 
 void Holder::Advance(Share& share, Time now) {
   if (now >= share.lease_end) {
-    // The sequence stays, so that a repeated update can't bring the tokens
-    // back.
+    // The sequence is kept, so that a duplicate of the last update does not add
+    // its tokens again.
     const bool held = share.rate_micros > 0 || share.capacity_micros > 0 ||
                       share.level_micros > 0;
     share.changed = share.changed || held;
@@ -201,7 +202,7 @@
     return;
   }
   const std::chrono::duration<double> elapsed = now - share.demand_at;
-  share.demand *= std::exp(-elapsed / kDemandWindow);
+  share.demand *= std::exp(-elapsed / kDemandTimeConstant);
   share.demand_at = now;
 }
 
@@ -211,14 +212,14 @@
          share.level_micros == 0;
 }
 
-bool Holder::HasNews(const Share& share, Time now) {
-  // The owner moves shares to where the demand is.
-  const bool demand_moved =
-      share.demand > kDemandFactor * share.reported_demand ||
-      share.demand * kDemandFactor < share.reported_demand;
+bool Holder::NeedsReport(const Share& share, Time now) {
+  // The owner sizes shares by the reported demand.
+  const bool demand_changed =
+      share.demand > kDemandChangeFactor * share.reported_demand ||
+      share.demand * kDemandChangeFactor < share.reported_demand;
   return share.changed || share.waiting > 0 || share.surplus_micros > 0 ||
-         share.demand >= kBusyDemand || demand_moved ||
-         now - share.reported_at >= kShareInterval;
+         share.demand >= kAlwaysReportedDemand || demand_changed ||
+         now - share.reported_at >= kMaxShareReportInterval;
 }
 
 bool Holder::Take(Share& share, Time now) {
@@ -226,8 +227,8 @@
   if (share.level_micros < kRequestMicros) {
     return false;
   }
-  // A token above the capacity was lent by the owner, which can lend the space
-  // to the next entry once it knows that the token is used.
+  // Tokens above the capacity count against the burst that the owner can give
+  // out. Reporting their use at once lets the owner serve the next entry.
   if (share.level_micros > share.capacity_micros) {
     share.changed = true;
     RequestReport(now);
@@ -270,7 +271,7 @@
 
 void Holder::RequestReport(Time at) {
   next_report_ =
-      std::min(next_report_, std::max(at, last_report_ + kMinReportGap));
+      std::min(next_report_, std::max(at, last_report_ + kMinReportInterval));
 }
 
 }  // namespace goldcrest::quota
--- a/quota/src/limit.cc
+++ b/quota/src/limit.cc
@@ -5,17 +5,18 @@
 namespace goldcrest::quota {
 namespace {
 
-// Part of a window's requests that comes as a rate; the rest is burst.
-constexpr double kRatePart = 0.85;
+// Fraction of a window's requests that becomes the rate; the rest is burst.
+constexpr double kRateFraction = 0.85;
 
-// Part of the tolerance and the allowance that is used. The rest covers
-// requests that are repeated at another endpoint after they ran.
-constexpr double kToleranceUsed = 0.9;
+// Fraction of the tolerance and the allowance that is used. The rest covers
+// requests that are retried at another endpoint after they have run.
+constexpr double kUsedToleranceFraction = 0.9;
 
-// Part of a window's requests that is kept for the time after a change of the
-// owner, which starts with empty buckets while callers repeat what failed. More
-// would refuse customers that use all of their rate.
-constexpr double kReservePart = 0.1;
+// Fraction of a window's requests that is reserved for the time after a change
+// of the owner: the new owner starts with empty buckets while callers retry
+// failed requests. A larger fraction would refuse requests of customers that
+// use all of their rate.
+constexpr double kReserveFraction = 0.1;
 
 }  // namespace
 
@@ -25,17 +26,18 @@
   const double seconds = std::chrono::duration<double>(window.length).count();
   const double allowed =
       (static_cast<double>(rate) * seconds + static_cast<double>(burst)) *
-          (1 + window.tolerance * kToleranceUsed) +
-      static_cast<double>(window.allowance) * kToleranceUsed;
+          (1 + window.tolerance * kUsedToleranceFraction) +
+      static_cast<double>(window.allowance) * kUsedToleranceFraction;
   if (rate == 0 && burst == 0)
     return {};
   const auto micros = [](double requests) {
     return static_cast<std::int64_t>(
         std::floor(requests * static_cast<double>(kRequestMicros)));
   };
-  const double steady = allowed * (1 - kReservePart);
-  return {micros(steady * kRatePart / seconds),
-          micros(steady * (1 - kRatePart)), micros(allowed * kReservePart)};
+  const double steady = allowed * (1 - kReserveFraction);
+  return {micros(steady * kRateFraction / seconds),
+          micros(steady * (1 - kRateFraction)),
+          micros(allowed * kReserveFraction)};
 }
 
 void Refill(std::int64_t rate_micros,
@@ -47,7 +49,7 @@
     remainder = 0;
     return;
   }
-  // A product of 64-bit amounts: a large rate over a long silence overflows 64
+  // A large rate multiplied by a long time since the last refill overflows 64
   // bits.
   const __int128 scaled =
       static_cast<__int128>(rate_micros) * elapsed.count() + remainder;
--- a/quota/src/owner.cc
+++ b/quota/src/owner.cc
@@ -7,35 +7,38 @@
 namespace goldcrest::quota {
 namespace {
 
-// Parts of a limit that the owner keeps to answer requests for tokens at once.
-// While its level is high, entries get large shares, which last through a
-// failover of the owner. While it is low, tokens that lie unused in one share
-// are missed in another, so that the owner keeps most of them. A full owner
-// needs no rate.
-constexpr std::int64_t kBurstReservePercent = 20;
-constexpr std::int64_t kScarceBurstReservePercent = 90;
-constexpr std::int64_t kRateReservePercent = 0;
-constexpr std::int64_t kScarceRateReservePercent = 95;
-
-// A waiting entry that has not reported for this long is not waited for.
-constexpr Duration kWaitingExpiry = std::chrono::milliseconds(100);
-
-// The owner's level counts as full from here on.
-constexpr std::int64_t kFullPercent = 95;
-
-// How long the level must be high before entries get large shares again.
-constexpr Duration kPlentyRise = std::chrono::seconds(1);
+// Parts of a limit that the owner keeps, to grant tokens for waiting requests
+// at once. While its level is high, entries get large shares, which last
+// through a failover of the owner. While it is low, tokens unused in one share
+// would be missing in another, so that the owner keeps most of the limit. An
+// owner with a full level needs no rate.
+constexpr std::int64_t kKeptBurstPercentWhenFull = 20;
+constexpr std::int64_t kKeptBurstPercentWhenEmpty = 90;
+constexpr std::int64_t kKeptRatePercentWhenFull = 0;
+constexpr std::int64_t kKeptRatePercentWhenEmpty = 95;
+
+// An entry with waiting requests that has not reported for this long no longer
+// takes precedence over entries that began to wait later.
+constexpr Duration kWaitingEntryTimeout = std::chrono::milliseconds(100);
+
+// The owner's level counts as full from this part of its free capacity on.
+constexpr std::int64_t kFullLevelPercent = 95;
+
+// Time in which the smoothed fill of the level rises from 0 to 1000 permille:
+// entries get large shares again only after the level has been high this long.
+constexpr Duration kFillRiseTime = std::chrono::seconds(1);
 constexpr std::int64_t kPermille = 1000;
 
 // An entry whose part of the burst would be smaller gets single tokens on
-// demand instead: a bucket of less than one token never yields one. Above that
-// a share lets the entry go on while there is no owner.
-constexpr std::int64_t kMinCapacityMicros = kRequestMicros;
+// demand instead, since a bucket of less than one token never yields one. A
+// larger share lets the entry admit requests while there is no owner.
+constexpr std::int64_t kMinShareCapacityMicros = kRequestMicros;
 
-// Share changes below this part of the limit are not worth an update.
+// Changes of a share below this part of the limit are not sent.
 constexpr std::int64_t kMinChangePercent = 2;
 
-// amount * part / whole, without overflow.
+// Returns amount * part / whole, without overflow; 0 if `whole` is not
+// positive.
 std::int64_t Scale(std::int64_t amount, std::int64_t part, std::int64_t whole) {
   if (whole <= 0) {
     return 0;
@@ -44,19 +47,21 @@
                                    whole);
 }
 
-// From `scarce` percent down to `plenty` percent.
-std::int64_t ReservePercent(std::int64_t plenty_permille,
-                            std::int64_t scarce,
-                            std::int64_t plenty) {
-  return scarce - (scarce - plenty) * plenty_permille / kPermille;
+// Interpolates from `when_empty` percent at 0 permille to `when_full` percent
+// at 1000 permille.
+std::int64_t KeptPercent(std::int64_t smoothed_fill_permille,
+                         std::int64_t when_empty,
+                         std::int64_t when_full) {
+  return when_empty -
+         (when_empty - when_full) * smoothed_fill_permille / kPermille;
 }
 
-// Moves from `held` towards `target`, by at most `free` upwards. Small moves
-// are left out, except to zero.
-std::int64_t Move(std::int64_t held,
-                  std::int64_t target,
-                  std::int64_t free,
-                  std::int64_t min_change) {
+// Returns the amount to hold next: `target`, but at most `free` above `held`.
+// Changes below `min_change` are skipped, except to zero.
+std::int64_t MoveTowards(std::int64_t held,
+                         std::int64_t target,
+                         std::int64_t free,
+                         std::int64_t min_change) {
   const std::int64_t reachable =
       std::min(target, held + std::max<std::int64_t>(free, 0));
   const std::int64_t change =
@@ -64,9 +69,9 @@
   return change < min_change && reachable != 0 ? held : reachable;
 }
 
-// Names no share: tells an entry which owner answers it, and that its next
-// report has to be full.
-messages::ShareUpdate TermOnly(std::int64_t term) {
+// An update without a share. It tells an entry the term of the owner, and that
+// its next report has to be full.
+messages::ShareUpdate MakeTermUpdate(std::int64_t term) {
   messages::ShareUpdate update;
   update.owner_term = term;
   return update;
@@ -111,7 +116,7 @@
     const std::string& instance,
     std::int64_t incarnation,
     const std::vector<messages::ShareReport>& reports,
-    Duration quiet) {
+    Duration idle_for) {
   std::vector<messages::ShareUpdate> updates;
   const auto place = instances_.find(instance);
   if (place == instances_.end() || incarnation < place->second.incarnation) {
@@ -126,23 +131,24 @@
     return updates;
   }
   if (newest_term < term_) {
-    // Updates of an earlier owner may still be on their way to this entry. Once
-    // it knows the new term it ignores them, so that its next report is final.
-    return {TermOnly(term_)};
+    // Updates of an earlier owner may still be in transit to this entry. Once
+    // the entry knows the new term it ignores them, so that they can't change
+    // what its next report says.
+    return {MakeTermUpdate(term_)};
   }
-  place->second.quiet_since = now - quiet;
+  place->second.idle_since = now - idle_for;
   if (!place->second.confirmed) {
     if (!reports.empty() && reports.front().partial) {
-      return {TermOnly(term_)};
+      return {MakeTermUpdate(term_)};
     }
-    Adopt(now, instance, place->second, reports);
+    AdoptReportedShares(now, instance, place->second, reports);
   }
   Ready(now);
   for (const messages::ShareReport& report : reports) {
     if (report.customer.empty()) {
       continue;
     }
-    auto update = Answer(now, ShareKey(instance, incarnation), report);
+    auto update = AnswerReport(now, ShareKey(instance, incarnation), report);
     if (update) {
       updates.push_back(*std::move(update));
     }
@@ -177,8 +183,8 @@
   if (!share.sent) {
     return held;
   }
-  // Until it is confirmed, an update may be applied or not: tokens on their way
-  // come on top of the level, and a decrease has not happened yet.
+  // An unconfirmed update may or may not have been applied: its tokens count in
+  // addition to the level, and a decrease does not count yet.
   held.rate_micros = std::max(held.rate_micros, share.sent->rate_micros);
   held.capacity_micros =
       std::max(held.capacity_micros + share.sent->added_micros,
@@ -217,39 +223,40 @@
   if (now > bucket.refilled_at) {
     Refill(FreeRate(bucket), FreeCapacity(bucket), now - bucket.refilled_at,
            bucket.level_micros, bucket.remainder);
-    const std::int64_t rise = kPermille *
-                              std::min(now - bucket.refilled_at, kPlentyRise) /
-                              kPlentyRise;
-    bucket.plenty_permille =
-        std::min(bucket.plenty_permille + rise,
+    const std::int64_t rise =
+        kPermille * std::min(now - bucket.refilled_at, kFillRiseTime) /
+        kFillRiseTime;
+    bucket.smoothed_fill_permille =
+        std::min(bucket.smoothed_fill_permille + rise,
                  Scale(kPermille, bucket.level_micros, FreeCapacity(bucket)));
     bucket.refilled_at = now;
   }
-  if (now >= bucket.next_lapse) {
-    DropLapsed(bucket, now);
+  if (now >= bucket.next_expiry) {
+    DropExpired(bucket, now);
   }
 }
 
-void Owner::DropLapsed(Bucket& bucket, Time now) {
-  bucket.next_lapse = kNever;
+void Owner::DropExpired(Bucket& bucket, Time now) {
+  bucket.next_expiry = kNever;
   for (auto share = bucket.shares.begin(); share != bucket.shares.end();) {
     if (now < share->second.lease_end) {
-      bucket.next_lapse = std::min(bucket.next_lapse, share->second.lease_end);
+      bucket.next_expiry =
+          std::min(bucket.next_expiry, share->second.lease_end);
       ++share;
       continue;
     }
-    // Its tokens may have been taken: only the capacity comes back.
+    // Frees only the capacity: the tokens of the share may have been taken.
     AddTotals(bucket, share->second, -1);
     bucket.waiting.erase({share->second.wanted_since, share->first});
     share = bucket.shares.erase(share);
   }
 }
 
-// Takes in what the entry says of its share. False when the report is older
-// than what is known already.
-bool Owner::Confirm(Bucket& bucket,
-                    Share& share,
-                    const messages::ShareReport& report) const {
+// Updates the confirmed share from the entry's report. Returns false if the
+// report is older than the confirmed state.
+bool Owner::ConfirmShare(Bucket& bucket,
+                         Share& share,
+                         const messages::ShareReport& report) const {
   const bool own_term = report.owner_term == term_;
   if (share.sent && own_term && report.share_sequence == share.sent->sequence) {
     const std::int64_t ceiling =
@@ -261,14 +268,15 @@
         std::max<std::int64_t>(report.level_micros - ceiling, 0);
   } else if (!share.sent && share.confirmed.sequence == 0 &&
              HeldBy(share).capacity_micros == 0) {
-    // A new record: what the report names has lapsed.
+    // The owner has no record of the share, so what the report names has
+    // expired.
     share.demand_micros = report.demand_micros;
     return true;
   } else if (own_term ? report.share_sequence != share.confirmed.sequence
                       : share.confirmed.sequence != 0) {
     return false;
   }
-  // A share that has lapsed on the entry is reported with less than was given.
+  // A share that has expired at the entry is reported with less than was given.
   share.confirmed.rate_micros =
       std::min(share.confirmed.rate_micros, report.rate_micros);
   share.confirmed.capacity_micros =
@@ -278,23 +286,25 @@
   return true;
 }
 
-// Tokens that entries wait for which began to wait before this one. Without it,
-// an entry that reports at a lucky time is served before one that waits longer.
-std::int64_t Owner::OwedBefore(const Bucket& bucket, const Share& share) const {
+// Tokens wanted by entries that began to wait before this one. They are served
+// first, so that an entry that reports just when tokens are free does not
+// overtake one that has waited longer.
+std::int64_t Owner::TokensWantedEarlier(const Bucket& bucket,
+                                        const Share& share) const {
   std::int64_t owed = 0;
   for (const auto& [since, key] : bucket.waiting) {
     const Share& other = bucket.shares.at(key);
     if (&other == &share) {
       break;
     }
-    owed += bucket.refilled_at - other.reported_at <= kWaitingExpiry
+    owed += bucket.refilled_at - other.reported_at <= kWaitingEntryTimeout
                 ? other.wanted_micros
                 : 0;
   }
   return owed;
 }
 
-// Keeps the entries that wait in the order in which they began to.
+// Updates the queue of waiting entries, ordered by when they began to wait.
 void Owner::UpdateWaiting(Time now,
                           Bucket& bucket,
                           const ShareKey& key,
@@ -312,77 +322,80 @@
   }
 }
 
-// Tokens for the requests that wait at the entry.
-std::int64_t Owner::Needed(const Bucket& bucket,
-                           const Share& share,
-                           const messages::ShareReport& report,
-                           std::int64_t capacity_micros) const {
+// Tokens to add for the requests that wait at the entry.
+std::int64_t Owner::TokensNeeded(const Bucket& bucket,
+                                 const Share& share,
+                                 const messages::ShareReport& report,
+                                 std::int64_t capacity_micros) const {
   std::int64_t needed =
       std::max<std::int64_t>(report.wanted_micros - report.level_micros, 0);
   needed = std::min(needed, bucket.level_micros + bucket.reserve_micros -
-                                OwedBefore(bucket, share));
+                                TokensWantedEarlier(bucket, share));
   needed = std::max<std::int64_t>(needed, 0);
   if (capacity_micros == 0) {
-    needed -= needed % kRequestMicros;  // part of a token can't be used
+    needed -= needed % kRequestMicros;  // a part of a token can't be used
   }
   return needed;
 }
 
-// What the entry should hold now, without a sequence.
-Owner::Grant Owner::Decide(const Bucket& bucket,
-                           const Share& share,
-                           const messages::ShareReport& report) const {
+// Returns what the entry should hold now; the sequence is set by the caller.
+Owner::Grant Owner::DecideGrant(const Bucket& bucket,
+                                const Share& share,
+                                const messages::ShareReport& report) const {
   Grant grant = share.confirmed;
   grant.added_micros = 0;
   if (UsablePercent() == 0) {
-    // Of the limit nothing is known to be free; the reserve is.
-    grant.added_micros = Needed(bucket, share, report, grant.capacity_micros);
+    // No part of the limit is known to be free; only the reserve can be
+    // granted.
+    grant.added_micros =
+        TokensNeeded(bucket, share, report, grant.capacity_micros);
     return grant;
   }
   const Limit& limit = *bucket.limit;
-  const std::int64_t reserve = std::max(
-      Percent(limit.burst_micros,
-              ReservePercent(bucket.plenty_permille, kScarceBurstReservePercent,
-                             kBurstReservePercent)),
+  const std::int64_t kept_burst = std::max(
+      Percent(limit.burst_micros, KeptPercent(bucket.smoothed_fill_permille,
+                                              kKeptBurstPercentWhenEmpty,
+                                              kKeptBurstPercentWhenFull)),
       std::min(limit.burst_micros, kRequestMicros));
   const std::int64_t demand = bucket.held.demand_micros;
   std::int64_t capacity =
-      Scale(limit.burst_micros - reserve, report.demand_micros, demand);
-  const std::int64_t rate_reserve =
+      Scale(limit.burst_micros - kept_burst, report.demand_micros, demand);
+  const std::int64_t kept_rate =
       Percent(limit.rate_micros,
-              ReservePercent(bucket.plenty_permille, kScarceRateReservePercent,
-                             kRateReservePercent));
+              KeptPercent(bucket.smoothed_fill_permille,
+                          kKeptRatePercentWhenEmpty, kKeptRatePercentWhenFull));
   std::int64_t rate =
-      Scale(limit.rate_micros - rate_reserve, report.demand_micros, demand);
+      Scale(limit.rate_micros - kept_rate, report.demand_micros, demand);
   capacity = std::min(capacity, Percent(limit.burst_micros, MaxSharePercent()));
   rate = std::min(rate, Percent(limit.rate_micros, MaxSharePercent()));
-  if (capacity < kMinCapacityMicros) {
+  if (capacity < kMinShareCapacityMicros) {
     capacity = 0;
     rate = 0;
   }
   const std::int64_t free_capacity = FreeCapacity(bucket);
   if (report.level_micros >= share.confirmed.capacity_micros &&
-      bucket.level_micros < Percent(free_capacity, kFullPercent)) {
+      bucket.level_micros < Percent(free_capacity, kFullLevelPercent)) {
     rate = 0;
   }
   grant.capacity_micros =
-      Move(grant.capacity_micros, capacity, free_capacity - reserve,
-           Percent(limit.burst_micros, kMinChangePercent));
+      MoveTowards(grant.capacity_micros, capacity, free_capacity - kept_burst,
+                  Percent(limit.burst_micros, kMinChangePercent));
   grant.rate_micros =
-      Move(grant.rate_micros, rate, FreeRate(bucket) - rate_reserve,
-           Percent(limit.rate_micros, kMinChangePercent));
+      MoveTowards(grant.rate_micros, rate, FreeRate(bucket) - kept_rate,
+                  Percent(limit.rate_micros, kMinChangePercent));
 
-  // Tokens move with capacity: an increase brings its part of the owner's
-  // level.
+  // An increase of the capacity gets its proportional part of the tokens that
+  // the owner keeps.
   const std::int64_t increase = std::max<std::int64_t>(
       grant.capacity_micros - share.confirmed.capacity_micros, 0);
   grant.added_micros = Scale(bucket.level_micros, increase, free_capacity);
-  grant.added_micros = std::max(
-      grant.added_micros, Needed(bucket, share, report, grant.capacity_micros));
+  grant.added_micros =
+      std::max(grant.added_micros,
+               TokensNeeded(bucket, share, report, grant.capacity_micros));
   return grant;
 }
 
-std::optional<messages::ShareUpdate> Owner::Answer(
+std::optional<messages::ShareUpdate> Owner::AnswerReport(
     Time now,
     const ShareKey& key,
     const messages::ShareReport& report) {
@@ -393,7 +406,7 @@
   }
   Share& share = bucket.shares[key];
   AddTotals(bucket, share, -1);
-  const bool current = Confirm(bucket, share, report);
+  const bool current = ConfirmShare(bucket, share, report);
   AddTotals(bucket, share, 1);
   bucket.level_micros = std::min(bucket.level_micros, FreeCapacity(bucket));
   if (current) {
@@ -402,10 +415,10 @@
         std::max<std::int64_t>(report.wanted_micros - report.level_micros, 0));
   }
   if (current && !share.sent) {
-    Grant grant = Decide(bucket, share, report);
+    Grant grant = DecideGrant(bucket, share, report);
     const bool adopted = share.confirmed.sequence == 0 &&
                          (grant.rate_micros > 0 || grant.capacity_micros > 0);
-    // Tokens above the capacity that no request waits for are taken back.
+    // Takes back tokens above the capacity that no request waits for.
     const bool unused =
         report.wanted_micros == 0 && share.level_bound > grant.capacity_micros;
     if (adopted || unused || grant.added_micros > 0 ||
@@ -426,7 +439,7 @@
     }
   }
   share.lease_end = now + kShareExpiry;
-  bucket.next_lapse = std::min(bucket.next_lapse, share.lease_end);
+  bucket.next_expiry = std::min(bucket.next_expiry, share.lease_end);
   const Grant& grant = share.sent ? *share.sent : share.confirmed;
   if (grant.sequence == 0) {
     return std::nullopt;
--- a/quota/src/owner_takeover.cc
+++ b/quota/src/owner_takeover.cc
@@ -1,5 +1,5 @@
-// What a new owner knows of shares that earlier ones gave out, and what it may
-// give out meanwhile.
+// How a new owner learns of the shares that earlier owners gave out, and what
+// it may give out until it knows all of them.
 
 #include <algorithm>
 
@@ -9,12 +9,13 @@
 namespace goldcrest::quota {
 namespace {
 
-// Largest share of one entry in a fleet of kCappedFleet instances or more. What
-// it needs beyond it comes as single tokens. An owner that took over and misses
-// an entry's report holds back this much instead of everything. A fleet grows
-// past that size before callers arrive, so that no larger share is about then.
+// Largest share of one entry in a fleet of at least kShareCapMinInstances
+// instances; the entry gets what it needs beyond it as single tokens. After a
+// takeover the owner holds back this much for each entry whose report is
+// missing, instead of the whole limit. A fleet reaches that size before callers
+// arrive, so that no larger shares exist by then.
 constexpr std::int64_t kMaxSharePercent = 25;
-constexpr std::size_t kCappedFleet = 8;
+constexpr std::size_t kShareCapMinInstances = 8;
 
 }  // namespace
 
@@ -42,7 +43,7 @@
     return true;
   }
   const bool known =
-      !wait_for_lapse_ &&
+      !wait_for_expiry_ &&
       std::all_of(instances_.begin(), instances_.end(),
                   [](const auto& instance) { return instance.second.known; });
   if (!known && now < ready_at_) {
@@ -52,18 +53,18 @@
     Advance(bucket, now);
   }
   ready_ = true;
-  CreditQuietTime(now);
+  CreditIdleTime(now);
   return true;
 }
 
-// While no entry took a token, as after a restart of all of them, the limits
-// went on yielding tokens that nobody has.
-void Owner::CreditQuietTime(Time now) {
+// Credits the tokens that the limits yielded while no entry took one, for
+// example during a restart of all entries.
+void Owner::CreditIdleTime(Time now) {
   Time since;
   for (const auto& [name, instance] : instances_) {
-    if (!instance.quiet_since)
+    if (!instance.idle_since)
       return;
-    since = std::max(since, *instance.quiet_since);
+    since = std::max(since, *instance.idle_since);
   }
   if (instances_.empty() || since >= now)
     return;
@@ -72,12 +73,12 @@
            bucket.level_micros, bucket.remainder);
 }
 
-// The part of each limit that is not with instances whose shares are unknown:
-// each of them holds kMaxSharePercent at most.
+// The part of each limit that instances with unknown shares can't hold: each of
+// them holds MaxSharePercent() at most.
 std::int64_t Owner::UsablePercent() const {
   if (ready_)
     return 100;
-  if (wait_for_lapse_)
+  if (wait_for_expiry_)
     return 0;
   const auto unknown = std::ranges::count_if(
       instances_, [](const auto& item) { return !item.second.known; });
@@ -86,7 +87,7 @@
 }
 
 std::int64_t Owner::MaxSharePercent() const {
-  return instances_.size() >= kCappedFleet ? kMaxSharePercent : 100;
+  return instances_.size() >= kShareCapMinInstances ? kMaxSharePercent : 100;
 }
 
 void Owner::StartIncarnation(const std::string& name,
@@ -95,8 +96,9 @@
   if (incarnation <= instance.incarnation) {
     return;
   }
-  // What an earlier owner gave to the earlier incarnation is never reported.
-  wait_for_lapse_ = wait_for_lapse_ || !instance.known;
+  // Shares that an earlier owner gave to the earlier incarnation are never
+  // reported, so that the owner has to wait until they have expired.
+  wait_for_expiry_ = wait_for_expiry_ || !instance.known;
   for (auto& [customer, bucket] : buckets_) {
     const auto share = bucket.shares.find(ShareKey(name, instance.incarnation));
     if (share == bucket.shares.end()) {
@@ -109,10 +111,11 @@
   instance.confirmed = false;
 }
 
-void Owner::Adopt(Time now,
-                  const std::string& name,
-                  Instance& instance,
-                  const std::vector<messages::ShareReport>& reports) {
+void Owner::AdoptReportedShares(
+    Time now,
+    const std::string& name,
+    Instance& instance,
+    const std::vector<messages::ShareReport>& reports) {
   instance.confirmed = true;
   instance.known = true;
   for (const messages::ShareReport& report : reports) {
@@ -126,7 +129,7 @@
     share.confirmed.capacity_micros = report.capacity_micros;
     share.level_bound = report.level_micros;
     share.lease_end = now + kShareExpiry;
-    bucket.next_lapse = std::min(bucket.next_lapse, share.lease_end);
+    bucket.next_expiry = std::min(bucket.next_expiry, share.lease_end);
     AddTotals(bucket, share, 1);
     bucket.shares[ShareKey(name, instance.incarnation)] = share;
     bucket.level_micros = std::min(bucket.level_micros, FreeCapacity(bucket));
--- a/quota/tests/lapse_test.cc
+++ b/quota/tests/lapse_test.cc
@@ -15,10 +15,11 @@
 constexpr Limit kLimit{.rate_micros = 100 * kRequestMicros,
                        .burst_micros = 100 * kRequestMicros};
 
-// An owner and two entries; each entry takes what it can while it is busy.
-class Rig {
+// An owner and two entries, each of which takes all tokens it can while it is
+// busy.
+class TestFleet {
  public:
-  Rig() {
+  TestFleet() {
     for (Entry& entry : entries_)
       entry.holder.SetLimit(kCustomer, kLimit);
     TakeOver();
@@ -30,7 +31,7 @@
     owner_->SetLimit(now_, kCustomer, kLimit);
   }
 
-  // Requests taken in `length` by the entries that are busy.
+  // Returns the number of tokens that the entries take within `length`.
   int Run(Duration length) {
     int taken = 0;
     for (const Time end = now_ + length; now_ < end; now_ += milliseconds(5)) {
@@ -43,10 +44,10 @@
   struct Entry {
     Holder holder;
     bool busy = false;
-    bool trickle = false;  // one request in 100 ms
-    bool cut = false;
+    bool sends_slowly = false;  // one request per 100 ms
+    bool disconnected = false;
     int waiting = 0;
-    Time next;
+    Time next_request_at;
   };
   Entry& entry(std::size_t index) { return entries_.at(index); }
 
@@ -57,9 +58,9 @@
       --entry.waiting;
       ++taken;
     }
-    const bool due = entry.trickle && now_ >= entry.next;
+    const bool due = entry.sends_slowly && now_ >= entry.next_request_at;
     if (due)
-      entry.next = now_ + milliseconds(100);
+      entry.next_request_at = now_ + milliseconds(100);
     while ((entry.busy || due) && entry.holder.TryTake(now_, kCustomer)) {
       ++taken;
       if (!entry.busy)
@@ -69,7 +70,7 @@
       ++entry.waiting;
       entry.holder.StartWaiting(now_, kCustomer);
     }
-    if (entry.cut || !entry.holder.ReportDue(now_))
+    if (entry.disconnected || !entry.holder.ReportDue(now_))
       return taken;
     const auto updates =
         owner_->OnReport(now_, name, 1, entry.holder.Report(now_));
@@ -85,40 +86,40 @@
 
 }  // namespace
 
-TEST_CASE("A share that is cut off is not given out a second time",
+TEST_CASE("A share of a disconnected entry is not given out a second time",
           "[quota][guarantee]") {
-  // Guards against tokens that an entry takes while it is cut off and that the
-  // owner, or its successor, gives to another entry as well.
-  Rig rig;
-  rig.entry(0).trickle = true;
-  rig.Run(seconds(8));
-  rig.entry(0).cut = true;
+  // Guards against tokens that an entry takes while it is disconnected and that
+  // the owner, or its successor, gives to another entry too.
+  TestFleet fleet;
+  fleet.entry(0).sends_slowly = true;
+  fleet.Run(seconds(8));
+  fleet.entry(0).disconnected = true;
   Duration length = seconds(0);
   int taken = 0;
   const auto run = [&](Duration part) {
     length += part;
-    taken += rig.Run(part);
+    taken += fleet.Run(part);
   };
 
-  SECTION("when its lease lapses") {
-    rig.Run(milliseconds(2500));
-    rig.entry(0).busy = true;
-    rig.entry(1).busy = true;
+  SECTION("when its lease expires") {
+    fleet.Run(milliseconds(2500));
+    fleet.entry(0).busy = true;
+    fleet.entry(1).busy = true;
     run(milliseconds(1500));
   }
   SECTION("by a new owner") {
-    rig.TakeOver();
-    rig.entry(0).busy = true;
-    rig.entry(1).busy = true;
+    fleet.TakeOver();
+    fleet.entry(0).busy = true;
+    fleet.entry(1).busy = true;
     run(milliseconds(2500));
   }
-  SECTION("by a new owner that it has told of its share") {
-    rig.TakeOver();
-    rig.entry(0).cut = false;
-    rig.Run(milliseconds(100));
-    rig.entry(0).cut = true;
-    rig.entry(0).busy = true;
-    rig.entry(1).busy = true;
+  SECTION("by a new owner to which the entry has reported its share") {
+    fleet.TakeOver();
+    fleet.entry(0).disconnected = false;
+    fleet.Run(milliseconds(100));
+    fleet.entry(0).disconnected = true;
+    fleet.entry(0).busy = true;
+    fleet.entry(1).busy = true;
     run(milliseconds(2500));
   }
   const double allowed =
@@ -129,8 +130,8 @@
 
 TEST_CASE("An update of an earlier owner gives no tokens",
           "[quota][guarantee]") {
-  // Guards against an update that arrives after its entry has told the new
-  // owner what it holds.
+  // Guards against an update of an earlier owner that arrives after the entry
+  // has reported its shares to the new owner.
   const Time now = Time(seconds(1));
   Holder holder;
   holder.SetLimit(kCustomer, kLimit);
--- a/quota/tests/share_test.cc
+++ b/quota/tests/share_test.cc
@@ -40,23 +40,23 @@
 
 }  // namespace
 
-// Guards against an answer that is repeated after its share has lapsed: the
-// entry must still know that it took these tokens.
-TEST_CASE("A repeated update brings no tokens, even after a lapse",
+// Guards against a duplicate answer that arrives after its share has expired:
+// the entry must still know that it took these tokens.
+TEST_CASE("A repeated update adds no tokens, even after the share expired",
           "[quota][guarantee]") {
   Holder holder;
   holder.SetLimit(kCustomer, kLimit);
   holder.Report(kStart);
   holder.OnUpdates(kStart, kStart, {MakeUpdate(1, 7, 3)});
   CHECK(TakeAll(holder, kStart) == 3);
-  const Time lapsed = kStart + kShareLease;
-  holder.Report(lapsed);
-  holder.OnUpdates(lapsed, lapsed, {MakeUpdate(1, 7, 3)});
-  CHECK(TakeAll(holder, lapsed) == 0);
+  const Time expired = kStart + kShareLease;
+  holder.Report(expired);
+  holder.OnUpdates(expired, expired, {MakeUpdate(1, 7, 3)});
+  CHECK(TakeAll(holder, expired) == 0);
 }
 
 // Guards against an update of an earlier owner that arrives after the new owner
-// has counted what the entry holds.
+// has taken over the shares that the entry reported.
 TEST_CASE("A new owner counts an entry only when it refuses older updates",
           "[quota][guarantee]") {
   Holder holder;
@@ -82,9 +82,9 @@
   CHECK(owner.Ready(kStart + kShareExpiry));
 }
 
-// Guards against tokens that an entry takes just before its share lapses and
-// that the owner hands out again just after.
-TEST_CASE("A lapsed share comes back without its tokens",
+// Guards against tokens that an entry takes just before its share expires and
+// that the owner gives out again just after.
+TEST_CASE("The tokens of an expired share are not given out again",
           "[quota][guarantee]") {
   const Limit slow{.rate_micros = 5 * kRequestMicros,
                    .burst_micros = 50 * kRequestMicros};
@@ -98,7 +98,7 @@
   owner.Register("lost", 1);
   owner.Register("other", 1);
   Time now = kStart;
-  Time last_report;  // that named the share
+  Time last_report;  // the last one that contains the share
   for (; now < kStart + std::chrono::seconds(20); now += milliseconds(250)) {
     lost.TryTake(now, kCustomer);
     const auto reports = lost.Report(now);
@@ -122,8 +122,8 @@
   CHECK(taken + taken_after <= 50 + 5 * 0.3);
 }
 
-// Guards against an owner that takes a report without all shares for a full one
-// and gives out what the entry holds a second time.
+// Guards against an owner that treats a partial report as a full one and gives
+// out the missing shares of the entry a second time.
 TEST_CASE("A new owner asks for the shares that a partial report leaves out",
           "[quota][guarantee]") {
   Owner first(1, kStart, {{"entry", 1}});
@@ -135,12 +135,12 @@
     holder.TryTake(now, kCustomer);
     Exchange(holder, first, now, "entry");
   }
-  now += std::chrono::seconds(3);  // the share is not in use any more
+  now += std::chrono::seconds(3);  // the share is unused by now
   Owner second(2, now, {{"entry", 1}});
   second.SetLimit(now, kCustomer, kLimit);
   const auto learned = second.OnReport(now, "entry", 1, holder.Report(now));
   holder.OnUpdates(now, now, learned);
-  CHECK(holder.Report(now).size() == 2);  // lost
+  CHECK(holder.Report(now).size() == 2);  // this report is lost
   const auto partial = holder.Report(now);
   REQUIRE(partial.size() == 1);
   const auto asked = second.OnReport(now, "entry", 1, partial);
@@ -154,7 +154,8 @@
   CHECK(second.Ready(now));
 }
 
-// Guards against shares too small to hold a token: the limit would be lost.
+// Guards against shares too small to hold a whole token, which would make the
+// limit unusable.
 TEST_CASE("A burst of one request serves every entry in turn", "[quota]") {
   const Limit single{.rate_micros = 10 * kRequestMicros,
                      .burst_micros = kRequestMicros};
@@ -198,8 +199,8 @@
   CHECK(demand() <= 5);
 }
 
-// Guards against a lowered limit that entries with old shares exceed for longer
-// than it takes to reach them, and against tokens made by raising it.
+// Guards against entries that use old shares after they have received a lowered
+// limit, and against tokens that are created when the limit is raised.
 TEST_CASE("A changed limit is in force once the entries have reported",
           "[quota][guarantee]") {
   Owner owner(1, kStart, {});
--- a/quota/tests/strictness_test.cc
+++ b/quota/tests/strictness_test.cc
@@ -19,27 +19,30 @@
 constexpr Duration kStep = milliseconds(5);
 const std::string kCustomer = "customer";
 
-// Checks what a fleet takes. Without a reserve, all intervals at once: requests
-// conform to rate * length + burst in every interval exactly if a bucket that
-// starts full never runs below zero. With one, each span of kReserveValidity,
-// which may hold rate * length + burst + reserve.
-class Auditor {
+// Checks the tokens that a fleet takes against the limit. Without a reserve,
+// checks all intervals at once: requests conform to rate * length + burst in
+// every interval exactly if a bucket that starts full never falls below zero.
+// With a reserve, checks each window of kReserveValidity, which may contain
+// rate * length + burst + reserve.
+class LimitChecker {
  public:
-  explicit Auditor(Limit limit) : limit_(limit), level_(limit.burst_micros) {}
+  explicit LimitChecker(Limit limit)
+      : limit_(limit), level_(limit.burst_micros) {}
 
+  // Counts one token. Returns false if the limit does not allow it.
   bool Take(Time now) {
     if (limit_.reserve_micros > 0)
-      return TakeInSpan(now);
+      return TakeInWindow(now);
     Refill(limit_.rate_micros, limit_.burst_micros, now - at_, level_,
            remainder_);
     at_ = now;
     level_ -= kRequestMicros;
-    // One micro-token: the division of the last refill may round down.
+    // Tolerates one micro-token, since the last refill may have rounded down.
     return level_ >= -1;
   }
 
  private:
-  bool TakeInSpan(Time now) {
+  bool TakeInWindow(Time now) {
     taken_.push_back(now);
     while (taken_.front() <= now - kReserveValidity)
       taken_.pop_front();
@@ -58,20 +61,20 @@
 
 struct Faults {
   int loss_percent;
-  int double_percent;
-  int late_percent;     // of messages arrive up to 1.5 s late
-  int cuts_per_minute;  // of one entry's link, for up to 6 s
+  int duplicate_percent;
+  int delayed_percent;         // of messages, by up to 1.5 s
+  int disconnects_per_minute;  // of each entry, for up to 6 s
   int restarts_per_minute;
   int failovers_per_minute;
 };
 
-// Entries that take all they can in bursts, on a faulty network, with owners
-// that fail over.
+// Entries that take all tokens they can in bursts, connected by a faulty
+// network to an owner that fails over.
 class Fleet {
  public:
   Fleet(Limit limit, int entries, Faults faults, std::uint32_t seed)
       : limit_(limit),
-        auditor_(limit),
+        checker_(limit),
         faults_(faults),
         random_(seed),
         entries_(entries) {
@@ -90,7 +93,7 @@
       for (Entry& entry : entries_) {
         for (int count = Serve(entry); count > 0; --count) {
           ++taken_;
-          if (!auditor_.Take(now_)) {
+          if (!checker_.Take(now_)) {
             return false;
           }
         }
@@ -105,7 +108,7 @@
   struct Entry {
     std::unique_ptr<Holder> holder;
     std::int64_t incarnation = 0;
-    Time cut_until;
+    Time disconnected_until;
     Time busy_until;
     Time idle_until;
     int waiting = 0;
@@ -123,7 +126,7 @@
   int Draw(int bound) {
     return static_cast<int>(random_() % static_cast<std::uint32_t>(bound));
   }
-  bool PerMinute(int times) {
+  bool DrawPerMinute(int times) {
     return Draw(static_cast<int>(std::chrono::minutes(1) / kStep)) < times;
   }
   Duration DrawMillis(int bound) { return milliseconds(Draw(bound)); }
@@ -143,40 +146,40 @@
     }
     owner_ = std::make_unique<Owner>(++term_, now_, registered);
     owner_->SetLimit(now_, kCustomer, limit_);
-    if (now_ < reserve_due_) {
+    if (now_ < next_reserve_grant_) {
       return;
     }
-    reserve_due_ = now_ + kReserveGrantInterval;
+    next_reserve_grant_ = now_ + kReserveGrantInterval;
     owner_->GrantReserve(now_);
   }
 
   void InjectFaults() {
     for (Entry& entry : entries_) {
-      if (PerMinute(faults_.cuts_per_minute)) {
-        entry.cut_until = now_ + DrawMillis(6000);
+      if (DrawPerMinute(faults_.disconnects_per_minute)) {
+        entry.disconnected_until = now_ + DrawMillis(6000);
       }
-      if (PerMinute(faults_.restarts_per_minute)) {
+      if (DrawPerMinute(faults_.restarts_per_minute)) {
         Start(entry);
       }
     }
-    if (owner_ && PerMinute(faults_.failovers_per_minute)) {
+    if (owner_ && DrawPerMinute(faults_.failovers_per_minute)) {
       owner_.reset();
-      owner_back_ = now_ + DrawMillis(2000);
+      next_takeover_ = now_ + DrawMillis(2000);
     }
-    if (!owner_ && now_ >= owner_back_) {
+    if (!owner_ && now_ >= next_takeover_) {
       TakeOver();
     }
   }
 
   void Send(const Message& message) {
-    const int copies = Draw(100) < faults_.double_percent ? 2 : 1;
+    const int copies = Draw(100) < faults_.duplicate_percent ? 2 : 1;
     for (int copy = 0; copy < copies; ++copy) {
       if (Draw(100) < faults_.loss_percent ||
-          now_ < entries_[message.entry].cut_until) {
+          now_ < entries_[message.entry].disconnected_until) {
         continue;
       }
-      const bool late = Draw(100) < faults_.late_percent;
-      network_.emplace(now_ + milliseconds(1) + DrawMillis(late ? 1500 : 20),
+      const bool delayed = Draw(100) < faults_.delayed_percent;
+      network_.emplace(now_ + milliseconds(1) + DrawMillis(delayed ? 1500 : 20),
                        message);
     }
   }
@@ -232,23 +235,24 @@
   }
 
   Limit limit_;
-  Auditor auditor_;
-  Time reserve_due_;
+  LimitChecker checker_;
+  Time next_reserve_grant_;
   Faults faults_;
   std::mt19937 random_;
   Time now_ = Time(std::chrono::seconds(1));
   std::vector<Entry> entries_;
   std::unique_ptr<Owner> owner_;
   std::int64_t term_ = 0;
-  Time owner_back_;
+  Time next_takeover_;
   std::multimap<Time, Message> network_;
   int taken_ = 0;
 };
 
 }  // namespace
 
-// Guards against every way in which tokens could be made: repeated, late or
-// lost messages, lapsed shares, restarts, and owners that know too little.
+// Guards against every way in which tokens could be created: duplicate, delayed
+// or lost messages, expired shares, restarts, and new owners that do not know
+// all shares.
 TEST_CASE("No fault lets a customer take more than its rate and burst",
           "[quota][guarantee]") {
   rc::detail::TestParams params;
@@ -264,16 +268,16 @@
             .reserve_micros =
                 std::max(0, *rc::gen::inRange(-60, 60)) * kRequestMicros};
         const Faults faults{.loss_percent = *rc::gen::inRange(0, 30),
-                            .double_percent = *rc::gen::inRange(0, 30),
-                            .late_percent = *rc::gen::inRange(0, 20),
-                            .cuts_per_minute = *rc::gen::inRange(0, 8),
+                            .duplicate_percent = *rc::gen::inRange(0, 30),
+                            .delayed_percent = *rc::gen::inRange(0, 20),
+                            .disconnects_per_minute = *rc::gen::inRange(0, 8),
                             .restarts_per_minute = *rc::gen::inRange(0, 8),
                             .failovers_per_minute = *rc::gen::inRange(0, 12)};
         Fleet fleet(limit, *rc::gen::inRange(2, 12), faults,
                     *rc::gen::arbitrary<std::uint32_t>());
-        const bool strict = fleet.Run(std::chrono::seconds(60));
+        const bool within_limit = fleet.Run(std::chrono::seconds(60));
         taken += fleet.taken();
-        RC_ASSERT(strict);
+        RC_ASSERT(within_limit);
       },
       rc::detail::TestMetadata(), params);
   CAPTURE(result);
--- a/quota/tests/takeover_test.cc
+++ b/quota/tests/takeover_test.cc
@@ -21,26 +21,30 @@
   return instances;
 }
 
-void Report(Owner& owner, Time now, const std::string& entry, Duration quiet) {
-  messages::ShareReport hello;
-  hello.owner_term = 2;
-  owner.OnReport(now, entry, 1, {hello}, quiet);
+void Report(Owner& owner,
+            Time now,
+            const std::string& entry,
+            Duration idle_for) {
+  messages::ShareReport header;
+  header.owner_term = 2;
+  owner.OnReport(now, entry, 1, {header}, idle_for);
 }
 
 std::int64_t TokensFor(Owner& owner, Time now, const std::string& entry) {
-  messages::ShareReport hello;
-  hello.owner_term = 2;
+  messages::ShareReport header;
+  header.owner_term = 2;
   messages::ShareReport wanted;
   wanted.customer = "customer";
   wanted.demand_micros = 10 * kRequestMicros;
   wanted.wanted_micros = 100 * kRequestMicros;
-  const auto updates = owner.OnReport(now, entry, 1, {hello, wanted});
+  const auto updates = owner.OnReport(now, entry, 1, {header, wanted});
   return updates.empty() ? 0 : updates.back().added_micros / kRequestMicros;
 }
 
 }  // namespace
 
-TEST_CASE("A window's use of a limit is never exceeded", "[quota][guarantee]") {
+TEST_CASE("The bucket of a limit allows no more than its window",
+          "[quota][guarantee]") {
   const LimitWindow window;
   for (const std::int64_t rate : {1, 23, 71, 500}) {
     const Limit limit = LimitFor(rate, rate, window);
@@ -53,8 +57,8 @@
   CHECK(LimitFor(0, 0, window) == Limit{});
 }
 
-// Guards against refusals within the rate after a power loss, when the new
-// owner knows of no token that nobody has taken.
+// Guards against refusals of requests within the rate after a power loss, when
+// the new owner does not know of any free token.
 TEST_CASE("A new owner gives the reserve to requests that wait",
           "[quota][guarantee]") {
   Limit limit = kLimit;
@@ -67,13 +71,14 @@
     CHECK(TokensFor(owner, kStart, "entry0") == 30);
     CHECK(TokensFor(owner, kStart + milliseconds(1), "entry1") == 0);
   }
-  SECTION("and not after its time") {
+  SECTION("and not after its validity") {
     CHECK(TokensFor(owner, kStart + kReserveValidity, "entry0") == 0);
   }
 }
 
-// Guards against refusals within the rate while one instance is frozen.
-TEST_CASE("An owner that misses one of many instances gives out the rest",
+// Guards against refusals of requests within the rate while one instance is
+// frozen.
+TEST_CASE("An owner that lacks one of many reports gives out the rest",
           "[quota][guarantee]") {
   Owner owner(2, kStart, Instances(8));
   owner.SetLimit(kStart, "customer", kLimit);
@@ -85,17 +90,17 @@
   CHECK(tokens > 0);
   CHECK(tokens <= 75);
 
-  SECTION("With four missing it gives out nothing") {
-    Owner blind(2, kStart, Instances(8));
-    blind.SetLimit(kStart, "customer", kLimit);
+  SECTION("With four reports missing it gives out nothing") {
+    Owner uninformed(2, kStart, Instances(8));
+    uninformed.SetLimit(kStart, "customer", kLimit);
     for (int i = 0; i < 4; ++i)
-      Report(blind, kStart, "entry" + std::to_string(i), Duration::zero());
-    CHECK(TokensFor(blind, now, "entry0") == 0);
+      Report(uninformed, kStart, "entry" + std::to_string(i), Duration::zero());
+    CHECK(TokensFor(uninformed, now, "entry0") == 0);
   }
 }
 
-// Guards against a restart of all processes after which callers are refused
-// though nobody used the limit meanwhile.
+// Guards against refusals after a restart of all processes, though no request
+// used the limit during the restart.
 TEST_CASE("Time in which no entry took a token counts at a takeover",
           "[quota]") {
   Owner owner(2, kStart, Instances(2));
