--- a/fleet/include/goldcrest/fleet/controller.h
+++ b/fleet/include/goldcrest/fleet/controller.h
@@ -26,7 +26,7 @@
 struct ConfigurationResult {
   enum class Kind {
     kDone,
-    kElsewhere,  //!< `leader` can tell.
+    kNotLeader,  //!< `leader` can tell.
     kUnknown,    //!< No leader is known, or it was replaced meanwhile.
   };
   Kind kind = Kind::kUnknown;
@@ -78,7 +78,7 @@
   void OnLink(const std::string& peer, bool up);
 
   //! An endpoint reported here.
-  void OnBeat(Time now, const messages::EndpointRecord& record);
+  void OnHeartbeat(Time now, const messages::EndpointRecord& record);
   //! An endpoint said that it has left.
   void OnDeparture(Time now, const messages::EndpointRecord& departure);
 
--- a/fleet/include/goldcrest/fleet/failover_planner.h
+++ b/fleet/include/goldcrest/fleet/failover_planner.h
@@ -21,7 +21,7 @@
   enum class Kind {
     kLeads,
     kFollows,
-    kReached,  //!< It answered, but could not tell.
+    kUndetermined,  //!< It answered, but could not tell.
     kUnreachable,
   };
   Kind kind = Kind::kUnreachable;
@@ -31,8 +31,8 @@
 };
 
 enum class ProbePurpose {
-  kLead,      //!< Does it lead? Costs the endpoint no slot.
-  kPosition,  //!< How far is its log?
+  kLeadership,  //!< Does it lead? Costs the endpoint no slot.
+  kPosition,    //!< How far is its log?
 };
 
 enum class PromotionResult { kAccepted, kRefused, kUnanswered };
--- a/fleet/src/controller.cc
+++ b/fleet/src/controller.cc
@@ -267,7 +267,7 @@
 ConfigurationResult Controller::AskLeader() const {
   const std::string leader = replica_.Leader();
   if (!leader.empty() && leader != options_.replica.self)
-    return {ConfigurationResult::Kind::kElsewhere, leader, ""};
+    return {ConfigurationResult::Kind::kNotLeader, leader, ""};
   return {};
 }
 
--- a/fleet/src/controller_peers.cc
+++ b/fleet/src/controller_peers.cc
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-void Controller::OnBeat(Time now, const messages::EndpointRecord& record) {
+void Controller::OnHeartbeat(Time now, const messages::EndpointRecord& record) {
   const auto merge = directory_.Apply(now, record);
   if (merge == routing::EndpointDirectory::Merge::kStale)
     return;
@@ -68,7 +68,7 @@
     return;  // An earlier life of the endpoint.
   record.sequence = std::max(record.sequence, departure.sequence) + 1;
   record.gone = true;
-  OnBeat(now, record);
+  OnHeartbeat(now, record);
 }
 
 void Controller::Merge(Time now, const messages::EndpointRecord& record) {
--- a/fleet/src/failover_planner.cc
+++ b/fleet/src/failover_planner.cc
@@ -127,7 +127,7 @@
     return;
   group.next_probe =
       now + (group.failing_since ? kFailingProbeInterval : kProbeInterval);
-  hooks_.probe(*primary, ProbePurpose::kLead);
+  hooks_.probe(*primary, ProbePurpose::kLeadership);
 }
 
 bool FailoverPlanner::IsLost(Time now, const Group& group) const {
@@ -258,7 +258,7 @@
   if (now < group.next_probe)
     return;
   group.next_probe = now + kSettleProbeInterval;
-  hooks_.probe(*primary, ProbePurpose::kLead);
+  hooks_.probe(*primary, ProbePurpose::kLeadership);
 }
 
 void FailoverPlanner::OnProbe(Time now,
@@ -296,7 +296,7 @@
       else if (group.leads_at && now - *group.leads_at > kFirstSight)
         BeginSurvey(now, name, group, "no endpoint leads");
       return;
-    case ProbeResult::Kind::kReached:
+    case ProbeResult::Kind::kUndetermined:
       group.failing_since.reset();
       group.failures = 0;
       return;
--- a/fleet/tests/controller_test.cc
+++ b/fleet/tests/controller_test.cc
@@ -188,7 +188,7 @@
   }
   SECTION("Another controller names the leader") {
     const auto result = cluster.Put(OtherThan(leader), 9);
-    CHECK(result.kind == Kind::kElsewhere);
+    CHECK(result.kind == Kind::kNotLeader);
     CHECK(result.leader == leader);
   }
   SECTION("It survives the leader and its disk") {
@@ -253,7 +253,7 @@
   record.address = "10.0.0.1:1";
   record.primary = true;
   record.sequence = 1;
-  cluster.nodes.at(OtherThan(leader))->OnBeat(cluster.now, record);
+  cluster.nodes.at(OtherThan(leader))->OnHeartbeat(cluster.now, record);
   cluster.Run(milliseconds(200));
   messages::ProxyReport report;
   report.process = 1;
--- a/programs/goldcrestd/controller_service.cc
+++ b/programs/goldcrestd/controller_service.cc
@@ -197,7 +197,7 @@
                {{"endpoint", endpoint}, {"cause", problem}});
     return Refusal(400, problem);
   }
-  controller_->OnBeat(SystemClock::Now(), *record);
+  controller_->OnHeartbeat(SystemClock::Now(), *record);
   HttpResponse response;
   response.body = platform::EncodeBeatAnswer("");
   return response;
@@ -231,7 +231,7 @@
     case ConfigurationResult::Kind::kDone:
       response.body = result.text.empty() ? "{}" : result.text;
       return response;
-    case ConfigurationResult::Kind::kElsewhere: {
+    case ConfigurationResult::Kind::kNotLeader: {
       platform::SocketAddress leader = platform::ParseAddress(result.leader);
       leader.port = settings_.controller_listen.port;
       response.status = 307;
--- a/programs/goldcrestd/endpoint_prober.cc
+++ b/programs/goldcrestd/endpoint_prober.cc
@@ -85,7 +85,7 @@
   connection.asked = true;
   connection.asked_at = SystemClock::Now();
   EndpointCommand command;
-  command.kind = connection.purpose == ProbePurpose::kLead
+  command.kind = connection.purpose == ProbePurpose::kLeadership
                      ? EndpointCommand::Kind::kBegin
                      : EndpointCommand::Kind::kStatus;
   connection.socket->Write(platform::EncodeCommand(command));
@@ -126,7 +126,7 @@
     result.term = answer.position->term;
     result.number = answer.position->number;
   }
-  if (connection.purpose == ProbePurpose::kLead) {
+  if (connection.purpose == ProbePurpose::kLeadership) {
     if (answer.outcome == Outcome::kDone)
       result.kind = ProbeResult::Kind::kLeads;
     if (answer.state != statements::TransactionState::kIdle) {
@@ -157,7 +157,7 @@
   connection->socket->Close();
   ProbeResult result;
   if (connection->decoder.Partial().outcome == Outcome::kTooManyConnections)
-    result.kind = ProbeResult::Kind::kReached;
+    result.kind = ProbeResult::Kind::kUndetermined;
   result_(connection->group, endpoint, result);
 }
 
--- a/programs/goldcrestd/endpoint_prober.h
+++ b/programs/goldcrestd/endpoint_prober.h
@@ -41,7 +41,7 @@
     std::string address;
     std::shared_ptr<adapters::LineSocket> socket;
     platform::AnswerDecoder decoder;
-    fleet::ProbePurpose purpose = fleet::ProbePurpose::kLead;
+    fleet::ProbePurpose purpose = fleet::ProbePurpose::kLeadership;
     bool started = false;   // the endpoint has accepted the connection
     bool asked = false;     // an answer to the probe is due
     bool cleaning = false;  // the answer to the rollback is due
