--- a/fleet/include/goldcrest/fleet/controller.h
+++ b/fleet/include/goldcrest/fleet/controller.h
@@ -22,24 +22,25 @@
 
 namespace goldcrest::fleet {
 
-//! How a call about the configuration ended.
+//! Result of a call that reads or writes the configuration.
 struct ConfigurationResult {
   enum class Kind {
     kDone,
-    kNotLeader,  //!< `leader` can tell.
-    kUnknown,    //!< No leader is known, or it was replaced meanwhile.
+    kNotLeader,  //!< Repeat the call at `leader`.
+    kUnknown,    //!< No leader is known, or it was replaced during the call.
   };
   Kind kind = Kind::kUnknown;
   std::string leader;
-  std::string text;  //!< Of the newest configuration; empty: there is none.
+  std::string text;  //!< Newest configuration; empty if there is none.
 };
 
 struct ControllerHooks {
   std::function<void(const std::string& to, messages::PeerMessage)> send;
-  //! Makes the writes durable. False: the process must stop.
+  //! Makes the writes durable. Returns false on failure; the process must then
+  //! stop.
   std::function<bool(const std::vector<consensus::LogWrite>&)> persist;
   std::function<routing::RoutingTablePtr(const std::string& text)> decode;
-  //! More controllers are known.
+  //! Called with all known controllers after new ones became known.
   std::function<void(const std::set<std::string>&)> known_controllers;
   std::function<void(const routing::EndpointDirectory::Entry&, ProbePurpose)>
       probe;
@@ -51,16 +52,17 @@
 };
 
 struct ControllerOptions {
-  consensus::ReplicaOptions replica;  //!< Without a disk: never a member.
-  bool has_disk = true;
+  consensus::ReplicaOptions replica;
+  bool has_disk = true;  //!< A controller without a disk never is a member.
   int tolerated_losses = 1;
   quota::LimitWindow limit_window;
-  std::set<std::string> seeds;  //!< Names of controllers known at the start.
+  std::set<std::string> seeds;  //!< Controllers known at the start.
 };
 
-//! One controller: its copy of the log, the directory of endpoints, and, while
-//! it leads, shares of rates, promotions and the membership. Does no I/O and
-//! reads no clock; not thread-safe.
+//! One controller of the fleet. Keeps a copy of the replicated log and the
+//! directory of endpoints. The leader also divides the rates of customers into
+//! shares, orders promotions and changes the membership. Does no I/O and reads
+//! no clock; not thread-safe.
 class Controller {
  public:
   using Done = std::function<void(ConfigurationResult)>;
@@ -77,13 +79,14 @@
                  const messages::PeerMessage& message);
   void OnLink(const std::string& peer, bool up);
 
-  //! An endpoint reported here.
+  //! Handles a heartbeat that an endpoint sent to this controller.
   void OnHeartbeat(Time now, const messages::EndpointRecord& record);
-  //! An endpoint said that it has left.
+  //! Handles the deregistration of an endpoint.
   void OnDeparture(Time now, const messages::EndpointRecord& departure);
 
-  //! `text` is a valid document of `version`. Done once it is decided, or once
-  //! a version that is not lower is.
+  //! Writes the configuration `text`, a valid document of `version`. Calls
+  //! `done` once this document or one of at least the same version is
+  //! committed, or the call has failed.
   void Put(Time now, std::int64_t version, std::string text, Done done);
   ConfigurationResult Get(Time now) const;
 
@@ -95,10 +98,10 @@
                    const messages::PrimaryAssignment& assignment,
                    PromotionResult result);
 
-  //! Controllers that the settings name by now.
+  //! Adds the controllers that changed settings name.
   void AddControllers(const std::set<std::string>& names);
 
-  //! Hands leadership over before a planned stop.
+  //! Transfers leadership to another controller before a planned stop.
   void BeginDrain(Time now);
 
   bool IsLeader() const { return replica_.IsLeader(); }
@@ -111,45 +114,48 @@
     Time reported_at;
     bool linked = false;
     std::int64_t process = 0;
-    // The last reports: when they came, and when they were sent by the entry's
-    // clock.
+    // The last reports: when each was received, and when it was sent by the
+    // entry's clock.
     std::deque<std::pair<Time, std::int64_t>> reports;
-    std::map<std::string, Time> positions_told;  // by group: asked_at
-    std::size_t controllers_told = 0;
+    // By group: asked_at of the newest position sent.
+    std::map<std::string, Time> positions_sent;
+    std::size_t controllers_sent = 0;
   };
-  struct WaitingPut {
+  struct PendingPut {
     std::int64_t version = 0;
     std::int64_t index = 0;
     std::int64_t term = 0;
     Done done;
   };
-  // What only the leader of a term keeps.
+  // State that only a leader has, for one term.
   struct Leadership {
     std::int64_t term = 0;
     std::unique_ptr<quota::Owner> owner;
     std::unique_ptr<FailoverPlanner> failover;
-    std::int64_t version = -1;  // of the limits and groups set
-    std::map<std::string, std::int64_t> registering;  // instance: process
-    std::map<std::string, ProbeResult> confirmed;     // by group: kLeads
+    std::int64_t version = -1;  // of the limits and groups in use
+    // By instance: the process whose registration is proposed.
+    std::map<std::string, std::int64_t> pending_registrations;
+    // By group: the newest result that is kLeads.
+    std::map<std::string, ProbeResult> confirmed_primaries;
     Time won_at;
-    Time reserve_since;         // of the takeover, or of the grant
-    bool reserve_told = false;  // the next change of it is proposed
+    Time last_reserve_grant;               // the takeover if there was none
+    bool reserve_change_proposed = false;  // not committed yet
   };
 
-  void Process(Time now, consensus::Output output);
-  void TellElections();
+  void ProcessOutput(Time now, consensus::Output output);
+  void ReportTermChange();
   void ApplyCommitted(Time now, const messages::LogEntry& entry);
   void OnDocumentChanged(Time now);
   void UpdateLeadership(Time now);
   void SetLimits(Time now);
-  void TellReserve(Time now, bool used);
-  void OnReserve(Time now, const messages::ReserveUse& reserve);
-  void RestoreReserve(Time now);
+  void ProposeReserveUse(Time now, bool used);
+  void OnReserveUse(Time now, const messages::ReserveUse& reserve);
+  void ProposeReserveReset(Time now);
   void LoadEndpoints(Time now);
   void ReleaseSilentHolders(Time now);
   void ReleaseHolder(Time now, const std::string& instance);
-  ConfigurationResult AskLeader() const;
-  bool Leads(Time now) const;
+  ConfigurationResult RedirectToLeader() const;
+  bool HoldsLeadership(Time now) const;
   std::int64_t Propose(Time now, const messages::FleetCommand& command);
   void OnReport(Time now,
                 const std::string& from,
@@ -162,14 +168,14 @@
                 const std::string& from,
                 const messages::ControllerNotice& notice);
   void AddPositions(Entry& entry, messages::ProxyUpdate& update) const;
-  void Merge(Time now, const messages::EndpointRecord& record);
+  void MergeEndpoint(Time now, const messages::EndpointRecord& record);
   void OnEndpointChanged(Time now, const messages::EndpointRecord& record);
   messages::ControllerNotice MakeNotice() const;
-  void Record(Time now, const messages::EndpointRecord& record);
+  void RecordEndpoint(Time now, const messages::EndpointRecord& record);
   void SendNotices(Time now);
-  void ToEntries(const messages::ProxyUpdate& update);
+  void SendToEntries(const messages::ProxyUpdate& update);
   void PlanMembership(Time now);
-  void FailPuts();
+  void FailLostPuts();
 
   ControllerOptions options_;
   ControllerHooks hooks_;
@@ -177,19 +183,19 @@
   FleetState state_;
   routing::RoutingTablePtr table_;
   std::int64_t applied_index_ = 0;
-  std::int64_t told_term_ = 0;
-  std::string told_leader_;
+  std::int64_t reported_term_ = 0;
+  std::string reported_leader_;
   routing::EndpointDirectory directory_;
   std::map<std::string, Entry> entries_;
   std::map<std::string, ControllerPeer> peers_;
-  std::set<std::string> known_;
-  std::vector<WaitingPut> puts_;
+  std::set<std::string> known_controllers_;
+  std::vector<PendingPut> pending_puts_;
   std::unique_ptr<Leadership> leadership_;
   Time next_notice_;
-  Time next_membership_;
+  Time next_membership_check_;
   Time members_changed_at_;
-  Time next_expiry_;
-  std::size_t log_bytes_ = 0;  // since the last snapshot
+  Time next_expiry_check_;
+  std::size_t log_bytes_ = 0;  // of commands since the last snapshot
   bool draining_ = false;
   bool failed_ = false;
 };
--- a/fleet/include/goldcrest/fleet/failover_planner.h
+++ b/fleet/include/goldcrest/fleet/failover_planner.h
@@ -16,23 +16,23 @@
 
 namespace goldcrest::fleet {
 
-//! What an endpoint has told a controller.
+//! Result of a probe that a controller sent to an endpoint.
 struct ProbeResult {
   enum class Kind {
     kLeads,
     kFollows,
-    kUndetermined,  //!< It answered, but could not tell.
+    kUndetermined,  //!< It was reached, but did not answer the question.
     kUnreachable,
   };
   Kind kind = Kind::kUnreachable;
-  std::int64_t term = 0;    //!< Of the position.
-  std::int64_t number = 0;  //!< Received by the endpoint's log.
-  Time asked_at;            //!< Before the question was sent.
+  std::int64_t term = 0;    //!< Term of the log position.
+  std::int64_t number = 0;  //!< Newest log position that the endpoint received.
+  Time asked_at;            //!< Taken before the probe was sent.
 };
 
 enum class ProbePurpose {
-  kLeadership,  //!< Does it lead? Costs the endpoint no slot.
-  kPosition,    //!< How far is its log?
+  kLeadership,  //!< Asks whether it leads. Uses none of its slots.
+  kPosition,    //!< Asks for its log position.
 };
 
 enum class PromotionResult { kAccepted, kRefused, kUnanswered };
@@ -42,8 +42,8 @@
       probe;
   std::function<void(const messages::PrimaryAssignment&)> promote;
   std::function<void(const messages::PrimaryAssignment&)> assigned;
-  //! The entries' contacts with primaries decide now.
-  std::function<void()> ask_contacts;
+  //! Asks all entries to report their contacts with primaries at once.
+  std::function<void()> request_contacts;
   std::function<void(const std::string& event,
                      const std::string& group,
                      const std::string& endpoint,
@@ -51,11 +51,13 @@
       decided;
 };
 
-//! Watches the primaries of all groups and has another endpoint promoted when
-//! one is lost or leaves. Lives on the leading controller for one term.
+//! Monitors the primaries of all groups, and has another endpoint promoted when
+//! a primary is lost or drains. Exists on the leader of the controllers for one
+//! term.
 //!
 //! A primary counts as lost when the leader can't reach it and no entry has
-//! reached it since, or when far more entries fail to reach it than succeed.
+//! reached it since then, or when far more entries fail to reach it than
+//! succeed.
 class FailoverPlanner {
  public:
   FailoverPlanner(Time now,
@@ -77,11 +79,11 @@
                   const std::string& entry,
                   const std::vector<messages::PrimaryContact>& contacts);
 
-  //! Promotions that this leader had carried out.
+  //! Returns the promotions that were carried out on orders of this planner.
   std::vector<messages::PrimaryAssignment> Assignments() const;
 
  private:
-  enum class Phase { kWatching, kSurveying, kOrdering, kSettling };
+  enum class Phase { kMonitoring, kSurveying, kOrdering, kConfirming };
   struct EntryContact {
     std::string endpoint;
     std::optional<Time> success_at;
@@ -89,29 +91,29 @@
     Time reported_at;
   };
   struct Group {
-    Phase phase = Phase::kWatching;
-    std::string primary;  // watched; empty while none is known
+    Phase phase = Phase::kMonitoring;
+    std::string primary;  // the one monitored; empty if none is known
     Time phase_since;
     Time next_probe;
     std::optional<Time> leads_at;
     std::optional<Time> failing_since;
     int failures = 0;
-    std::string cause;  // of the survey
+    std::string cause;  // why the survey was started
     std::map<std::string, ProbeResult> survey;
     std::set<std::string> asked;
-    std::set<std::string> refused;  // promotions of them were refused
+    std::set<std::string> refused;  // endpoints whose promotion was refused
     std::optional<messages::PrimaryAssignment> order;
-    int sends = 0;
-    Time next_send;
+    int send_count = 0;
+    Time next_send_at;
     std::optional<messages::PrimaryAssignment> assigned;
     std::map<std::string, EntryContact> contacts;
   };
 
-  void Watch(Time now, const std::string& name, Group& group);
+  void Monitor(Time now, const std::string& name, Group& group);
   void Survey(Time now, const std::string& name, Group& group);
-  void Order(Time now, const std::string& name, Group& group);
-  void Settle(Time now, const std::string& name, Group& group);
-  void Enter(Time now, Group& group, Phase phase);
+  void SendOrder(Time now, const std::string& name, Group& group);
+  void Confirm(Time now, const std::string& name, Group& group);
+  void EnterPhase(Time now, Group& group, Phase phase);
   void BeginSurvey(Time now,
                    const std::string& name,
                    Group& group,
@@ -123,7 +125,7 @@
   const routing::EndpointDirectory* directory_;
   FailoverHooks hooks_;
   Time started_at_;
-  std::int64_t orders_ = 0;
+  std::int64_t issued_orders_ = 0;
   std::map<std::string, Group> groups_;
 };
 
--- a/fleet/include/goldcrest/fleet/fleet_state.h
+++ b/fleet/include/goldcrest/fleet/fleet_state.h
@@ -9,12 +9,14 @@
 
 namespace goldcrest::fleet {
 
-//! What the controllers agree on: the newest configuration document, the
-//! instances that may hold shares of customers' rates, and the endpoints, so
-//! that a restart of all instances need not wait for heartbeats.
+//! The state machine that the controllers replicate: the newest configuration
+//! document, the instances that may hold shares of customers' rates, and the
+//! endpoints, so that after a restart of all instances no controller has to
+//! wait for heartbeats.
 class FleetState {
  public:
-  //! Deterministic. A document replaces one of a lower version only.
+  //! Applies a committed command. Deterministic. A document replaces only a
+  //! document of a lower version.
   void Apply(const messages::FleetCommand& command);
 
   void Load(messages::FleetSnapshot snapshot);
@@ -29,7 +31,8 @@
   const std::map<std::string, messages::EndpointRecord>& endpoints() const {
     return state_.endpoints;
   }
-  //! A leader has given out the reserves of limits not long ago.
+  //! True if a leader has granted the reserves of limits, and they may not be
+  //! granted again yet.
   bool reserve_used() const { return state_.reserve_used; }
 
  private:
--- a/fleet/include/goldcrest/fleet/membership_planner.h
+++ b/fleet/include/goldcrest/fleet/membership_planner.h
@@ -10,41 +10,44 @@
 
 namespace goldcrest::fleet {
 
-//! What the leader knows of another controller.
+//! State of another controller as the leader knows it.
 struct ControllerPeer {
   Time heard_at;
   bool has_disk = false;
-  //! Its log was not admitted: it is new, or has lost its disk.
+  //! It takes no part in elections yet: it is new, or has lost its disk.
   bool joining = false;
 };
 
 struct MembershipView {
   std::string self;
-  std::vector<std::string> members;  //!< In force.
+  std::vector<std::string> members;  //!< The membership in force.
   Time changed_at;                   //!< When `members` last changed.
   std::map<std::string, ControllerPeer> peers;
   int tolerated_losses = 1;
 };
 
-//! The membership to propose next, which differs by one member; nullopt when
-//! none is due.
+//! Returns the membership to propose next, which differs from the current one
+//! by one member; nullopt if no change is needed.
 //!
-//! A member that has lost its disk is removed, to be added again; a controller
-//! with a disk that is no member is added; a member that has been silent for
-//! kSilentMember is removed while enough others remain for the tolerated
-//! losses.
+//! A member that has lost its disk is removed, and added again later. A
+//! controller that has a disk and is no member is added. A member not heard
+//! from for kMemberRemovalTimeout is removed if enough members remain for the
+//! tolerated losses.
 std::optional<std::vector<std::string>> NextMembership(
     Time now,
     const MembershipView& view);
 
-//! Longer than a restart and than the interruptions that a member survives.
-inline constexpr Duration kSilentMember = std::chrono::seconds(6);
+//! A member not heard from for this long may be removed. Longer than a restart
+//! and than the interruptions that a member survives.
+inline constexpr Duration kMemberRemovalTimeout = std::chrono::seconds(6);
 
-//! How long a member that was just admitted may still say that it joins.
-inline constexpr Duration kAdmissionNotice = std::chrono::milliseconds(1500);
+//! How long after its admission a member may still report that it is joining,
+//! because it sent the notice before.
+inline constexpr Duration kAdmissionGracePeriod =
+    std::chrono::milliseconds(1500);
 
-//! A peer heard within this time takes part.
-inline constexpr Duration kLivePeer = std::chrono::milliseconds(1500);
+//! A peer not heard from for this long does not count as live.
+inline constexpr Duration kPeerTimeout = std::chrono::milliseconds(1500);
 
 }  // namespace goldcrest::fleet
 
--- a/fleet/src/controller.cc
+++ b/fleet/src/controller.cc
@@ -12,16 +12,16 @@
 using std::chrono::milliseconds;
 
 constexpr Duration kNoticeInterval = milliseconds(400);
-constexpr Duration kExpiryInterval = std::chrono::seconds(1);
+constexpr Duration kExpiryCheckInterval = std::chrono::seconds(1);
 
-// An endpoint that no controller has heard for this long is gone; several
-// times the interval of heartbeats, and longer than the partitions that an
-// endpoint outlives.
+// An endpoint without a heartbeat at any controller for this long is gone. It
+// is several times the heartbeat interval, and longer than the network
+// partitions that an endpoint survives.
 constexpr Duration kEndpointExpiry = std::chrono::seconds(15);
 
-// Log that is kept before a snapshot replaces it; documents have some kB to
-// some 100 kB.
-constexpr std::size_t kCompactBytes = std::size_t{4} << 20U;
+// Bytes of commands in the log after which a snapshot replaces it. Documents
+// have some kB to some 100 kB.
+constexpr std::size_t kSnapshotLogBytes = std::size_t{4} << 20U;
 
 }  // namespace
 
@@ -33,10 +33,10 @@
     : options_(std::move(options)),
       hooks_(std::move(hooks)),
       replica_(options_.replica, restored, generator),
-      known_(options_.seeds),
+      known_controllers_(options_.seeds),
       next_notice_(now),
-      next_membership_(now),
-      next_expiry_(now + kEndpointExpiry) {
+      next_membership_check_(now),
+      next_expiry_check_(now + kEndpointExpiry) {
   if (restored.snapshot.last_index == 0)
     return;
   auto snapshot = messages::DecodeFleetSnapshot(restored.snapshot.data);
@@ -52,36 +52,37 @@
 
 void Controller::LoadEndpoints(Time now) {
   for (const auto& [name, record] : state_.endpoints())
-    Merge(now, record);
+    MergeEndpoint(now, record);
 }
 
 void Controller::Tick(Time now) {
   if (now >= replica_.NextDeadline())
-    Process(now, replica_.Tick(now));
+    ProcessOutput(now, replica_.Tick(now));
   UpdateLeadership(now);
-  if (Leads(now)) {
+  if (HoldsLeadership(now)) {
     leadership_->failover->Tick(now);
     PlanMembership(now);
     ReleaseSilentHolders(now);
-    RestoreReserve(now);
+    ProposeReserveReset(now);
   }
-  FailPuts();
+  FailLostPuts();
   if (now >= next_notice_) {
     next_notice_ = now + kNoticeInterval;
     SendNotices(now);
   }
-  if (now >= next_expiry_) {
-    next_expiry_ = now + kExpiryInterval;
+  if (now >= next_expiry_check_) {
+    next_expiry_check_ = now + kExpiryCheckInterval;
     for (const auto& record : directory_.Expire(now - kEndpointExpiry)) {
       hooks_.decided("endpoint_gone", record.endpoint, "no heartbeat");
       OnEndpointChanged(now, record);
     }
   }
-  if (log_bytes_ < kCompactBytes || applied_index_ <= replica_.SnapshotIndex())
+  if (log_bytes_ < kSnapshotLogBytes ||
+      applied_index_ <= replica_.SnapshotIndex())
     return;
   log_bytes_ = 0;
-  Process(now,
-          replica_.Compact(applied_index_, messages::Encode(state_.Save())));
+  ProcessOutput(
+      now, replica_.Compact(applied_index_, messages::Encode(state_.Save())));
 }
 
 void Controller::OnMessage(Time now,
@@ -89,7 +90,7 @@
                            const messages::PeerMessage& message) {
   if (message.__isset.consensus && options_.has_disk) {
     peers_[from].heard_at = now;
-    Process(now, replica_.Receive(now, from, message.consensus));
+    ProcessOutput(now, replica_.Receive(now, from, message.consensus));
     UpdateLeadership(now);
   }
   if (message.__isset.proxy_report)
@@ -105,7 +106,7 @@
     it->second.linked = up;
 }
 
-void Controller::Process(Time now, consensus::Output output) {
+void Controller::ProcessOutput(Time now, consensus::Output output) {
   if (failed_)
     return;
   if (!output.writes.empty() && !hooks_.persist(output.writes)) {
@@ -130,16 +131,18 @@
   }
   for (const messages::LogEntry& entry : output.committed)
     ApplyCommitted(now, entry);
-  TellElections();
+  ReportTermChange();
 }
 
-void Controller::TellElections() {
-  if (replica_.Term() == told_term_ && replica_.Leader() == told_leader_)
+void Controller::ReportTermChange() {
+  if (replica_.Term() == reported_term_ &&
+      replica_.Leader() == reported_leader_)
     return;
-  told_term_ = replica_.Term();
-  told_leader_ = replica_.Leader();
-  hooks_.decided("term_changed", std::to_string(told_term_),
-                 told_leader_.empty() ? "no leader" : "leader " + told_leader_);
+  reported_term_ = replica_.Term();
+  reported_leader_ = replica_.Leader();
+  hooks_.decided(
+      "term_changed", std::to_string(reported_term_),
+      reported_leader_.empty() ? "no leader" : "leader " + reported_leader_);
 }
 
 void Controller::ApplyCommitted(Time now, const messages::LogEntry& entry) {
@@ -165,18 +168,17 @@
   if (state_.version() != before || first)
     OnDocumentChanged(now);
   if (command->__isset.endpoint)
-    Merge(now, command->endpoint);
+    MergeEndpoint(now, command->endpoint);
   if (command->__isset.reserve)
-    OnReserve(now, command->reserve);
+    OnReserveUse(now, command->reserve);
   if (command->__isset.holder && leadership_ != nullptr) {
-    leadership_->registering.erase(command->holder.instance);
+    leadership_->pending_registrations.erase(command->holder.instance);
     const auto it = state_.holders().find(command->holder.instance);
     if (it != state_.holders().end() && it->second.process != 0) {
-      // Both processes bind the instance's address, so that the earlier one has
-      // ended.
+      // The earlier process has ended, since both bind the instance's address.
       leadership_->owner->OnProcessEnded(now, it->first);
       leadership_->owner->Register(it->first, it->second.incarnation);
-      // Its customers' requests may wait for the first share.
+      // Asks for a report at once, since requests may wait for the first share.
       messages::ProxyUpdate update;
       update.document_version = state_.version();
       update.report_now = true;
@@ -185,14 +187,14 @@
       hooks_.send(it->first, std::move(message));
     }
   }
-  std::vector<WaitingPut> done;
-  std::erase_if(puts_, [&](WaitingPut& put) {
+  std::vector<PendingPut> done;
+  std::erase_if(pending_puts_, [&](PendingPut& put) {
     if (put.index > entry.index || state_.version() < put.version)
       return false;
     done.push_back(std::move(put));
     return true;
   });
-  for (WaitingPut& put : done)
+  for (PendingPut& put : done)
     put.done({ConfigurationResult::Kind::kDone, "", ""});
 }
 
@@ -201,12 +203,12 @@
     return;
   table_ = hooks_.decode(state_.text());
   hooks_.decided("configuration_applied", std::to_string(state_.version()),
-                 table_ ? "" : "it can't be decoded");
+                 table_ ? "" : "the document can't be decoded");
   if (leadership_ != nullptr)
     SetLimits(now);
   messages::ProxyUpdate update;
   update.document_version = state_.version();
-  ToEntries(update);
+  SendToEntries(update);
 }
 
 std::int64_t Controller::Propose(Time now,
@@ -215,7 +217,7 @@
       replica_.Propose(now, messages::Encode(command));
   const std::int64_t index =
       proposal.code == ResultCode::kOk ? proposal.index : 0;
-  Process(now, std::move(proposal.output));
+  ProcessOutput(now, std::move(proposal.output));
   return index;
 }
 
@@ -223,8 +225,8 @@
                      std::int64_t version,
                      std::string text,
                      Done done) {
-  if (!Leads(now))
-    return done(AskLeader());
+  if (!HoldsLeadership(now))
+    return done(RedirectToLeader());
   if (!state_.text().empty() && version <= state_.version()) {
     done({ConfigurationResult::Kind::kDone, "", ""});
     return;
@@ -234,37 +236,38 @@
   put.version = version;
   put.text = std::move(text);
   command.__set_put(put);
-  WaitingPut waiting;
-  waiting.version = version;
-  waiting.term = replica_.Term();
-  waiting.index = replica_.LastIndex() + 1;
-  waiting.done = std::move(done);
-  puts_.push_back(std::move(waiting));
+  PendingPut pending;
+  pending.version = version;
+  pending.term = replica_.Term();
+  pending.index = replica_.LastIndex() + 1;
+  pending.done = std::move(done);
+  pending_puts_.push_back(std::move(pending));
   if (Propose(now, command) == 0)
-    puts_.back().term = -1;  // Answered by FailPuts().
-  FailPuts();
+    pending_puts_.back().term = -1;  // Makes FailLostPuts() answer it.
+  FailLostPuts();
 }
 
-// Answers the calls whose entry may be lost with the leadership.
-void Controller::FailPuts() {
-  std::vector<WaitingPut> lost;
-  std::erase_if(puts_, [&](WaitingPut& put) {
+// Answers the calls whose log entry may be lost, since this controller no
+// longer leads in their term.
+void Controller::FailLostPuts() {
+  std::vector<PendingPut> lost;
+  std::erase_if(pending_puts_, [&](PendingPut& put) {
     if (replica_.IsLeader() && put.term == replica_.Term())
       return false;
     lost.push_back(std::move(put));
     return true;
   });
-  for (WaitingPut& put : lost)
+  for (PendingPut& put : lost)
     put.done({ConfigurationResult::Kind::kUnknown, "", ""});
 }
 
 ConfigurationResult Controller::Get(Time now) const {
-  if (Leads(now))
+  if (HoldsLeadership(now))
     return {ConfigurationResult::Kind::kDone, "", state_.text()};
-  return AskLeader();
+  return RedirectToLeader();
 }
 
-ConfigurationResult Controller::AskLeader() const {
+ConfigurationResult Controller::RedirectToLeader() const {
   const std::string leader = replica_.Leader();
   if (!leader.empty() && leader != options_.replica.self)
     return {ConfigurationResult::Kind::kNotLeader, leader, ""};
@@ -275,24 +278,24 @@
                          const std::string& group,
                          const std::string& endpoint,
                          const ProbeResult& result) {
-  if (!Leads(now))
+  if (!HoldsLeadership(now))
     return;
   if (result.kind == ProbeResult::Kind::kLeads)
-    leadership_->confirmed[group] = result;
+    leadership_->confirmed_primaries[group] = result;
   leadership_->failover->OnProbe(now, group, endpoint, result);
 }
 
 void Controller::OnPromotion(Time now,
                              const messages::PrimaryAssignment& assignment,
                              PromotionResult result) {
-  if (Leads(now))
+  if (HoldsLeadership(now))
     leadership_->failover->OnPromotion(now, assignment, result);
 }
 
 void Controller::BeginDrain(Time now) {
   draining_ = true;
   if (replica_.IsLeader())
-    Process(now, replica_.TransferLeadership(now));
+    ProcessOutput(now, replica_.TransferLeadership(now));
   UpdateLeadership(now);
 }
 
--- a/fleet/src/controller_leadership.cc
+++ b/fleet/src/controller_leadership.cc
@@ -1,5 +1,5 @@
-// What a controller does while it leads: limits and their reserves, holders of
-// shares, and the membership.
+// The tasks of the leader: limits and their reserves, holders of shares, and
+// the membership.
 
 #include <chrono>
 #include <utility>
@@ -11,12 +11,13 @@
 
 constexpr Duration kMembershipInterval = std::chrono::milliseconds(200);
 
-// Twice the time after which a share lapses.
+// An instance without a report for this long, twice the time after which its
+// shares expire, is no longer registered as a holder of shares.
 constexpr Duration kHolderExpiry = 2 * quota::kShareExpiry;
 
 }  // namespace
 
-bool Controller::Leads(Time now) const {
+bool Controller::HoldsLeadership(Time now) const {
   return leadership_ != nullptr && replica_.HoldsLeaderLease(now);
 }
 
@@ -33,7 +34,7 @@
   leadership_->term = replica_.Term();
   leadership_->won_at = now;
   hooks_.decided("leadership_won", std::to_string(leadership_->term), "");
-  // Members that were silent for a long time count from now.
+  // Members that have not been heard from get the full timeout from now on.
   for (const std::string& member : replica_.Members()) {
     if (member != options_.replica.self)
       peers_[member].heard_at = std::max(peers_[member].heard_at, now);
@@ -51,12 +52,12 @@
   failover.assigned = [this](const messages::PrimaryAssignment& assignment) {
     messages::ProxyUpdate update;
     update.primaries.push_back(assignment);
-    ToEntries(update);
+    SendToEntries(update);
   };
-  failover.ask_contacts = [this] {
+  failover.request_contacts = [this] {
     messages::ProxyUpdate update;
     update.report_now = true;
-    ToEntries(update);
+    SendToEntries(update);
   };
   failover.decided = [this](const std::string& event, const std::string& group,
                             const std::string& endpoint,
@@ -66,43 +67,45 @@
   leadership_->failover = std::make_unique<FailoverPlanner>(
       now, leadership_->term, &directory_, std::move(failover));
   SetLimits(now);
-  leadership_->reserve_since = now;
-  // Before the first configuration nothing was taken, and nothing fails.
+  leadership_->last_reserve_grant = now;
+  // Before the first configuration no request could use tokens or fail, so that
+  // the reserves are not needed.
   if (!state_.reserve_used() && !state_.text().empty())
-    TellReserve(now, true);
+    ProposeReserveUse(now, true);
   for (const messages::EndpointRecord& record : directory_.All())
-    Record(now, record);
+    RecordEndpoint(now, record);
 }
 
-// The reserves of limits are given out at a takeover, when callers repeat what
-// failed and the new owner's buckets are empty. The log holds that they were,
-// so that the next leader does not give them out again too soon.
-void Controller::TellReserve(Time now, bool used) {
+// The reserves of limits are granted at a takeover, when callers retry failed
+// requests and the new owner's buckets are empty. The log records the grant, so
+// that the next leader does not repeat it too soon.
+void Controller::ProposeReserveUse(Time now, bool used) {
   messages::FleetCommand command;
   messages::ReserveUse reserve;
   reserve.term = leadership_->term;
   reserve.used = used;
   command.__set_reserve(reserve);
-  leadership_->reserve_told = Propose(now, command) != 0;
+  leadership_->reserve_change_proposed = Propose(now, command) != 0;
 }
 
-void Controller::OnReserve(Time now, const messages::ReserveUse& reserve) {
+void Controller::OnReserveUse(Time now, const messages::ReserveUse& reserve) {
   if (leadership_ == nullptr || reserve.term != leadership_->term)
     return;
-  leadership_->reserve_told = false;
+  leadership_->reserve_change_proposed = false;
   if (!reserve.used)
     return;
-  leadership_->reserve_since = now;
+  leadership_->last_reserve_grant = now;
   leadership_->owner->GrantReserve(now);
   hooks_.decided("reserve_given_out", std::to_string(reserve.term), "");
 }
 
-// An earlier leader gave the reserves out before this one took over at the
-// latest.
-void Controller::RestoreReserve(Time now) {
-  if (state_.reserve_used() && !leadership_->reserve_told &&
-      now - leadership_->reserve_since >= quota::kReserveGrantInterval)
-    TellReserve(now, false);
+// Allows the next grant of the reserves. An earlier leader can have granted
+// them no later than the takeover of this leader, from which the interval
+// counts.
+void Controller::ProposeReserveReset(Time now) {
+  if (state_.reserve_used() && !leadership_->reserve_change_proposed &&
+      now - leadership_->last_reserve_grant >= quota::kReserveGrantInterval)
+    ProposeReserveUse(now, false);
 }
 
 void Controller::SetLimits(Time now) {
@@ -120,8 +123,8 @@
                         options_.limit_window));
 }
 
-// An instance that has been silent far longer than a share lasts holds nothing
-// any more; while it counts as a holder, each new owner waits for it.
+// An instance without reports for much longer than a share lasts holds no share
+// any more. While it is registered as a holder, each new owner waits for it.
 void Controller::ReleaseSilentHolders(Time now) {
   if (now - leadership_->won_at < kHolderExpiry)
     return;
@@ -131,7 +134,7 @@
         (it != entries_.end() && now - it->second.reported_at < kHolderExpiry))
       continue;
     hooks_.decided("holder_released", instance, "silent");
-    // By value: the proposal may change the holders.
+    // Passes a copy, since the proposal may change the holders.
     return ReleaseHolder(now, std::string(instance));
   }
 }
@@ -147,9 +150,9 @@
 }
 
 void Controller::PlanMembership(Time now) {
-  if (now < next_membership_ || draining_)
+  if (now < next_membership_check_ || draining_)
     return;
-  next_membership_ = now + kMembershipInterval;
+  next_membership_check_ = now + kMembershipInterval;
   MembershipView view;
   view.self = options_.replica.self;
   view.members = replica_.Members();
@@ -167,7 +170,7 @@
   if (proposal.code == ResultCode::kOk)
     hooks_.decided("membership_proposed", std::to_string(next->size()),
                    "was " + std::to_string(view.members.size()));
-  Process(now, std::move(proposal.output));
+  ProcessOutput(now, std::move(proposal.output));
 }
 
 }  // namespace goldcrest::fleet
--- a/fleet/src/controller_peers.cc
+++ b/fleet/src/controller_peers.cc
@@ -1,4 +1,4 @@
-// What a controller exchanges with entries and other controllers.
+// Messages between a controller and the entries and other controllers.
 
 #include <algorithm>
 
@@ -7,11 +7,12 @@
 namespace goldcrest::fleet {
 namespace {
 
-// Reports of an entry come every 250 ms, probes as well.
-constexpr std::size_t kReportsKept = 8;
+// Reports kept per entry, to find one that was received before a probe was
+// sent. Reports and probes both come every 250 ms.
+constexpr std::size_t kMaxReportsKept = 8;
 
-// An entry without a report for this long no longer counts as one.
-constexpr Duration kEntryFresh = std::chrono::seconds(5);
+// An entry without a report for this long is not counted as running.
+constexpr Duration kEntryTimeout = std::chrono::seconds(5);
 
 }  // namespace
 
@@ -36,14 +37,15 @@
                                    const messages::EndpointRecord& record) {
   messages::ProxyUpdate update;
   update.endpoints.push_back(record);
-  ToEntries(update);
-  Record(now, record);
+  SendToEntries(update);
+  RecordEndpoint(now, record);
 }
 
-// Keeps a changed record in the log. What was recorded may be out of date: a
-// later heartbeat replaces it.
-void Controller::Record(Time now, const messages::EndpointRecord& record) {
-  if (!Leads(now))
+// Writes a changed record to the log. A record in the log may be out of date
+// after a restart, until the next heartbeat replaces it.
+void Controller::RecordEndpoint(Time now,
+                                const messages::EndpointRecord& record) {
+  if (!HoldsLeadership(now))
     return;
   const auto it = state_.endpoints().find(record.endpoint);
   const bool known = it != state_.endpoints().end();
@@ -65,19 +67,20 @@
     return;
   messages::EndpointRecord record = known->record;
   if (departure.started_ms != 0 && departure.started_ms < record.started_ms)
-    return;  // An earlier life of the endpoint.
+    return;  // Sent by an earlier process of the endpoint.
   record.sequence = std::max(record.sequence, departure.sequence) + 1;
   record.gone = true;
   OnHeartbeat(now, record);
 }
 
-void Controller::Merge(Time now, const messages::EndpointRecord& record) {
+void Controller::MergeEndpoint(Time now,
+                               const messages::EndpointRecord& record) {
   if (directory_.Apply(now, record) ==
       routing::EndpointDirectory::Merge::kChanged)
     OnEndpointChanged(now, record);
 }
 
-void Controller::ToEntries(const messages::ProxyUpdate& update) {
+void Controller::SendToEntries(const messages::ProxyUpdate& update) {
   messages::ProxyUpdate filled = update;
   if (filled.document_version == 0)
     filled.document_version = state_.version();
@@ -93,37 +96,38 @@
                           const std::string& from,
                           const messages::ProxyReport& report) {
   Entry& entry = entries_[from];
-  const bool fresh = report.first || entry.process != report.process;
+  const bool new_link = report.first || entry.process != report.process;
   entry.linked = !report.stopped;
   if (entry.process != report.process) {
     entry.reports.clear();
-    entry.positions_told.clear();
+    entry.positions_sent.clear();
   }
   entry.process = report.process;
   entry.reported_at = now;
   entry.reports.emplace_back(now, report.sent_micros);
-  if (entry.reports.size() > kReportsKept)
+  if (entry.reports.size() > kMaxReportsKept)
     entry.reports.pop_front();
   messages::ProxyUpdate update;
   update.report_sent_micros = report.sent_micros;
-  update.leader = Leads(now);
+  update.leader = HoldsLeadership(now);
   update.document_version = state_.version();
   if (report.wants_document && state_.version() > report.document_version)
     update.__set_document(state_.text());
-  if (fresh)
+  if (new_link)
     update.endpoints = directory_.All();
-  if (fresh || entry.controllers_told != known_.size())
-    update.controllers.assign(known_.begin(), known_.end());
-  entry.controllers_told = known_.size();
+  if (new_link || entry.controllers_sent != known_controllers_.size())
+    update.controllers.assign(known_controllers_.begin(),
+                              known_controllers_.end());
+  entry.controllers_sent = known_controllers_.size();
   update.entries = static_cast<std::int32_t>(
       std::ranges::count_if(entries_, [&](const auto& item) {
-        return now - item.second.reported_at < kEntryFresh;
+        return now - item.second.reported_at < kEntryTimeout;
       }));
   if (update.leader) {
     update.shares = AnswerShares(now, from, report);
     AddPositions(entry, update);
     leadership_->failover->OnContacts(now, from, report.contacts);
-    if (fresh)
+    if (new_link)
       update.primaries = leadership_->failover->Assignments();
   }
   messages::PeerMessage message;
@@ -131,14 +135,15 @@
   hooks_.send(from, std::move(message));
 }
 
-// Tells an entry what primaries have confirmed, dated by its own clock: the
-// question left after a report of the entry had arrived here, and therefore
-// after that report was sent.
+// Adds the positions that primaries have confirmed, each with the time at which
+// a report of the entry was sent, by the entry's own clock. That report had
+// arrived here before the primary was asked, so that the position is newer than
+// the report.
 void Controller::AddPositions(Entry& entry,
                               messages::ProxyUpdate& update) const {
-  for (const auto& [group, confirmed] : leadership_->confirmed) {
-    Time& told = entry.positions_told[group];
-    if (told >= confirmed.asked_at)
+  for (const auto& [group, confirmed] : leadership_->confirmed_primaries) {
+    Time& last_sent = entry.positions_sent[group];
+    if (last_sent >= confirmed.asked_at)
       continue;
     for (auto it = entry.reports.rbegin(); it != entry.reports.rend(); ++it) {
       if (it->first >= confirmed.asked_at)
@@ -149,7 +154,7 @@
       position.number = confirmed.number;
       position.report_sent_micros = it->second;
       update.positions.push_back(position);
-      told = confirmed.asked_at;
+      last_sent = confirmed.asked_at;
       break;
     }
   }
@@ -172,9 +177,10 @@
     return leadership_->owner->OnReport(now, from, it->second.incarnation,
                                         report.shares,
                                         Duration(report.quiet_micros));
-  // An entry gets shares once a successor of this leader would know of it.
+  // An entry gets shares only after its registration is committed, so that the
+  // next leader knows it as a holder.
   auto [pending, added] =
-      leadership_->registering.emplace(from, report.process);
+      leadership_->pending_registrations.emplace(from, report.process);
   if (!added && pending->second == report.process)
     return {};
   pending->second = report.process;
@@ -184,7 +190,7 @@
   holder.process = report.process;
   command.__set_holder(holder);
   if (Propose(now, command) == 0)
-    leadership_->registering.erase(from);
+    leadership_->pending_registrations.erase(from);
   return {};
 }
 
@@ -195,19 +201,19 @@
   peer.heard_at = now;
   peer.has_disk = notice.has_disk;
   peer.joining = notice.joining;
-  std::set<std::string> told(notice.controllers.begin(),
-                             notice.controllers.end());
-  told.insert(from);
-  AddControllers(told);
+  std::set<std::string> names(notice.controllers.begin(),
+                              notice.controllers.end());
+  names.insert(from);
+  AddControllers(names);
   for (const messages::EndpointRecord& record : notice.endpoints)
-    Merge(now, record);
+    MergeEndpoint(now, record);
 }
 
 void Controller::AddControllers(const std::set<std::string>& names) {
-  const std::size_t before = known_.size();
-  known_.insert(names.begin(), names.end());
-  if (known_.size() != before)
-    hooks_.known_controllers(known_);
+  const std::size_t before = known_controllers_.size();
+  known_controllers_.insert(names.begin(), names.end());
+  if (known_controllers_.size() != before)
+    hooks_.known_controllers(known_controllers_);
 }
 
 messages::ControllerNotice Controller::MakeNotice() const {
@@ -219,15 +225,16 @@
 
 void Controller::SendNotices(Time now) {
   messages::ControllerNotice notice = MakeNotice();
-  notice.controllers.assign(known_.begin(), known_.end());
-  for (const std::string& name : known_) {
+  notice.controllers.assign(known_controllers_.begin(),
+                            known_controllers_.end());
+  for (const std::string& name : known_controllers_) {
     if (name == options_.replica.self)
       continue;
     messages::PeerMessage message;
     messages::ControllerNotice sent = notice;
-    // A controller that was silent may have missed heartbeats.
+    // A controller that was not heard from may have missed heartbeats.
     const auto peer = peers_.find(name);
-    if (peer == peers_.end() || now - peer->second.heard_at > kLivePeer)
+    if (peer == peers_.end() || now - peer->second.heard_at > kPeerTimeout)
       sent.endpoints = directory_.All();
     message.__set_controller_notice(sent);
     hooks_.send(name, std::move(message));
--- a/fleet/src/failover_planner.cc
+++ b/fleet/src/failover_planner.cc
@@ -13,31 +13,34 @@
 constexpr Duration kFailingProbeInterval = milliseconds(100);
 
 // A primary that the leader has failed to reach for this long is lost, unless
-// an entry has reached it meanwhile. Longer than a retransmitted packet takes.
-constexpr Duration kLostAfter = milliseconds(450);
-constexpr int kLostFailures = 2;
+// an entry has reached it during that time. Longer than the retransmission of a
+// packet takes.
+constexpr Duration kLostPrimaryTimeout = milliseconds(450);
+constexpr int kLostPrimaryMinFailures = 2;
 
-// With most entries unable to reach it, a primary is replaced though some do:
-// after a longer time, since the promotion loses commits not yet replicated.
-constexpr Duration kCutOffAfter = milliseconds(1200);
-constexpr int kCutOffRatio = 2;
+// A primary that most entries can't reach is replaced though some entries reach
+// it. The timeout is longer, since the promotion loses commits that are not
+// replicated yet.
+constexpr Duration kMostEntriesFailTimeout = milliseconds(1200);
+constexpr int kMostEntriesFailRatio = 2;
 
-// An entry's report older than this says nothing any more.
-constexpr Duration kReportFresh = milliseconds(1500);
+// Contacts that an entry reported longer ago than this are ignored.
+constexpr Duration kMaxReportAge = milliseconds(1500);
 
-// A new leader, or a new group, waits this long for heartbeats before it takes
-// a missing primary for lost.
-constexpr Duration kFirstSight = milliseconds(2500);
+// How long the leader waits for the heartbeat of a primary, from its election
+// or from when the group was added, before it counts the missing primary as
+// lost.
+constexpr Duration kMissingPrimaryTimeout = milliseconds(2500);
 
-constexpr Duration kSurveyTime = milliseconds(400);
-constexpr Duration kResendAfter = milliseconds(400);
-constexpr int kMaxSends = 4;
-constexpr Duration kSettleTime = milliseconds(2500);
-constexpr Duration kSettleProbeInterval = milliseconds(60);
+constexpr Duration kSurveyTimeout = milliseconds(400);
+constexpr Duration kPromotionResendInterval = milliseconds(400);
+constexpr int kMaxPromotionSends = 4;
+constexpr Duration kConfirmationTimeout = milliseconds(2500);
+constexpr Duration kConfirmationProbeInterval = milliseconds(60);
 
-// Orders of one term; each decision gets a number of its own, so that a late
-// call of an earlier decision is refused.
-constexpr std::int64_t kOrdersPerTerm = 100'000;
+// Size of the range of order numbers of one term. Each promotion order gets a
+// higher number, so that a delayed call for an earlier order is refused.
+constexpr std::int64_t kMaxOrdersPerTerm = 100'000;
 
 }  // namespace
 
@@ -63,23 +66,23 @@
 void FailoverPlanner::Tick(Time now) {
   for (auto& [name, group] : groups_) {
     switch (group.phase) {
-      case Phase::kWatching:
-        Watch(now, name, group);
+      case Phase::kMonitoring:
+        Monitor(now, name, group);
         break;
       case Phase::kSurveying:
         Survey(now, name, group);
         break;
       case Phase::kOrdering:
-        Order(now, name, group);
+        SendOrder(now, name, group);
         break;
-      case Phase::kSettling:
-        Settle(now, name, group);
+      case Phase::kConfirming:
+        Confirm(now, name, group);
         break;
     }
   }
 }
 
-void FailoverPlanner::Enter(Time now, Group& group, Phase phase) {
+void FailoverPlanner::EnterPhase(Time now, Group& group, Phase phase) {
   group.phase = phase;
   group.phase_since = now;
   group.next_probe = now;
@@ -99,7 +102,7 @@
   return newest == nullptr ? "" : newest->record.endpoint;
 }
 
-void FailoverPlanner::Watch(Time now, const std::string& name, Group& group) {
+void FailoverPlanner::Monitor(Time now, const std::string& name, Group& group) {
   const auto* known = directory_->Find(group.primary);
   if (known == nullptr || known->record.gone || !known->record.primary) {
     const std::string found = FindPrimary(name, group);
@@ -115,7 +118,8 @@
   const auto* primary = directory_->Find(group.primary);
   if (primary == nullptr || primary->record.gone) {
     if (!directory_->MembersOf(name).empty() &&
-        now - std::max(group.phase_since, started_at_) >= kFirstSight)
+        now - std::max(group.phase_since, started_at_) >=
+            kMissingPrimaryTimeout)
       BeginSurvey(now, name, group, "no endpoint leads");
     return;
   }
@@ -131,32 +135,34 @@
 }
 
 bool FailoverPlanner::IsLost(Time now, const Group& group) const {
-  int reach = 0;
-  int fail = 0;
+  int entries_reaching = 0;
+  int entries_failing = 0;
   std::optional<Time> reached_at;
   std::optional<Time> failing_since;
   for (const auto& [entry, contact] : group.contacts) {
     if (contact.endpoint != group.primary ||
-        now - contact.reported_at > kReportFresh)
+        now - contact.reported_at > kMaxReportAge)
       continue;
     if (contact.failing_since) {
-      ++fail;
+      ++entries_failing;
       if (!failing_since || *contact.failing_since < *failing_since)
         failing_since = contact.failing_since;
       continue;
     }
-    if (!contact.success_at || now - *contact.success_at > kReportFresh)
+    if (!contact.success_at || now - *contact.success_at > kMaxReportAge)
       continue;
-    ++reach;
+    ++entries_reaching;
     reached_at = std::max(reached_at.value_or(Time()), *contact.success_at);
   }
   const bool leader_fails = group.failing_since &&
-                            group.failures >= kLostFailures &&
-                            now - *group.failing_since >= kLostAfter;
+                            group.failures >= kLostPrimaryMinFailures &&
+                            now - *group.failing_since >= kLostPrimaryTimeout;
   if (leader_fails && (!reached_at || *reached_at < *group.failing_since))
     return true;
-  return fail > kCutOffRatio * (reach + (group.failing_since ? 0 : 1)) &&
-         now - *failing_since >= kCutOffAfter;
+  return entries_failing >
+             kMostEntriesFailRatio *
+                 (entries_reaching + (group.failing_since ? 0 : 1)) &&
+         now - *failing_since >= kMostEntriesFailTimeout;
 }
 
 void FailoverPlanner::BeginSurvey(Time now,
@@ -167,7 +173,7 @@
   group.cause = cause;
   group.survey.clear();
   group.asked.clear();
-  Enter(now, group, Phase::kSurveying);
+  EnterPhase(now, group, Phase::kSurveying);
   for (const auto* member : directory_->MembersOf(name)) {
     const std::string& endpoint = member->record.endpoint;
     if (endpoint == group.primary || member->record.draining)
@@ -179,7 +185,7 @@
 
 void FailoverPlanner::Survey(Time now, const std::string& name, Group& group) {
   if (group.survey.size() < group.asked.size() &&
-      now - group.phase_since < kSurveyTime)
+      now - group.phase_since < kSurveyTimeout)
     return;
   std::string best;
   ProbeResult highest;
@@ -198,31 +204,33 @@
     hooks_.decided("no_candidate", name, "", group.cause);
     group.failing_since.reset();
     group.failures = 0;
-    Enter(now, group, Phase::kWatching);
+    EnterPhase(now, group, Phase::kMonitoring);
     group.next_probe = now;
     return;
   }
   messages::PrimaryAssignment order;
   order.group = name;
   order.endpoint = best;
-  order.order = term_ * kOrdersPerTerm + ++orders_;
+  order.order = term_ * kMaxOrdersPerTerm + ++issued_orders_;
   group.order = order;
-  group.sends = 0;
-  group.next_send = now;
-  Enter(now, group, Phase::kOrdering);
+  group.send_count = 0;
+  group.next_send_at = now;
+  EnterPhase(now, group, Phase::kOrdering);
   hooks_.decided("promotion_ordered", name, best,
                  group.cause + ", position " + std::to_string(highest.term) +
                      "." + std::to_string(highest.number));
-  Order(now, name, group);
+  SendOrder(now, name, group);
 }
 
-void FailoverPlanner::Order(Time now, const std::string& name, Group& group) {
-  if (now < group.next_send)
+void FailoverPlanner::SendOrder(Time now,
+                                const std::string& name,
+                                Group& group) {
+  if (now < group.next_send_at)
     return;
-  if (group.sends >= kMaxSends)
+  if (group.send_count >= kMaxPromotionSends)
     return BeginSurvey(now, name, group, "no answer to the promotion");
-  ++group.sends;
-  group.next_send = now + kResendAfter;
+  ++group.send_count;
+  group.next_send_at = now + kPromotionResendInterval;
   hooks_.promote(*group.order);
 }
 
@@ -237,7 +245,7 @@
       group.order->order != assignment.order)
     return;
   if (result == PromotionResult::kUnanswered)
-    return;  // Sent again in time; the order's number stays the same.
+    return;  // SendOrder() repeats it later under the same number.
   if (result == PromotionResult::kRefused) {
     group.refused.insert(assignment.endpoint);
     return BeginSurvey(now, it->first, group, "promotion refused");
@@ -247,17 +255,17 @@
   group.failing_since.reset();
   group.failures = 0;
   group.contacts.clear();
-  Enter(now, group, Phase::kSettling);
+  EnterPhase(now, group, Phase::kConfirming);
   hooks_.assigned(assignment);
 }
 
-void FailoverPlanner::Settle(Time now, const std::string& name, Group& group) {
+void FailoverPlanner::Confirm(Time now, const std::string& name, Group& group) {
   const auto* primary = directory_->Find(group.primary);
-  if (primary == nullptr || now - group.phase_since >= kSettleTime)
+  if (primary == nullptr || now - group.phase_since >= kConfirmationTimeout)
     return BeginSurvey(now, name, group, "promoted endpoint does not lead");
   if (now < group.next_probe)
     return;
-  group.next_probe = now + kSettleProbeInterval;
+  group.next_probe = now + kConfirmationProbeInterval;
   hooks_.probe(*primary, ProbePurpose::kLeadership);
 }
 
@@ -281,19 +289,19 @@
       group.leads_at = now;
       group.failing_since.reset();
       group.failures = 0;
-      if (group.phase != Phase::kSettling)
+      if (group.phase != Phase::kConfirming)
         return;
       hooks_.decided("promotion_in_force", name, endpoint, group.cause);
-      return Enter(now, group, Phase::kWatching);
+      return EnterPhase(now, group, Phase::kMonitoring);
     case ProbeResult::Kind::kFollows:
-      if (group.phase != Phase::kWatching)
+      if (group.phase != Phase::kMonitoring)
         return;
-      // Another endpoint may have said meanwhile that it leads.
+      // A heartbeat may have named another endpoint as the primary.
       group.failing_since.reset();
       group.failures = 0;
       if (const std::string found = FindPrimary(name, group); found != endpoint)
         group.primary = found;
-      else if (group.leads_at && now - *group.leads_at > kFirstSight)
+      else if (group.leads_at && now - *group.leads_at > kMissingPrimaryTimeout)
         BeginSurvey(now, name, group, "no endpoint leads");
       return;
     case ProbeResult::Kind::kUndetermined:
@@ -304,8 +312,8 @@
       if (!group.failing_since)
         group.failing_since = now;
       ++group.failures;
-      if (group.phase == Phase::kWatching)
-        hooks_.ask_contacts();
+      if (group.phase == Phase::kMonitoring)
+        hooks_.request_contacts();
       return;
   }
 }
@@ -314,16 +322,16 @@
     Time now,
     const std::string& entry,
     const std::vector<messages::PrimaryContact>& contacts) {
-  for (const messages::PrimaryContact& told : contacts) {
-    const auto it = groups_.find(told.group);
+  for (const messages::PrimaryContact& reported : contacts) {
+    const auto it = groups_.find(reported.group);
     if (it == groups_.end())
       continue;
     EntryContact& contact = it->second.contacts[entry];
-    contact = EntryContact{told.endpoint, std::nullopt, std::nullopt, now};
-    if (told.success_age_ms >= 0)
-      contact.success_at = now - milliseconds(told.success_age_ms);
-    if (told.failing_ms > 0)
-      contact.failing_since = now - milliseconds(told.failing_ms);
+    contact = EntryContact{reported.endpoint, std::nullopt, std::nullopt, now};
+    if (reported.success_age_ms >= 0)
+      contact.success_at = now - milliseconds(reported.success_age_ms);
+    if (reported.failing_ms > 0)
+      contact.failing_since = now - milliseconds(reported.failing_ms);
   }
 }
 
--- a/fleet/src/membership_planner.cc
+++ b/fleet/src/membership_planner.cc
@@ -22,11 +22,12 @@
   const auto is_live = [&](const std::string& name) {
     const auto it = view.peers.find(name);
     return name == view.self ||
-           (it != view.peers.end() && now - it->second.heard_at < kLivePeer);
+           (it != view.peers.end() && now - it->second.heard_at < kPeerTimeout);
   };
   for (const auto& [name, peer] : view.peers) {
     if (is_member(name) && peer.joining && is_live(name) &&
-        view.members.size() > 1 && now - view.changed_at >= kAdmissionNotice)
+        view.members.size() > 1 &&
+        now - view.changed_at >= kAdmissionGracePeriod)
       return Without(view.members, name);
   }
   for (const auto& [name, peer] : view.peers) {
@@ -42,7 +43,7 @@
   for (const std::string& name : view.members) {
     const auto it = view.peers.find(name);
     if (name == view.self || it == view.peers.end() ||
-        now - it->second.heard_at < kSilentMember)
+        now - it->second.heard_at < kMemberRemovalTimeout)
       continue;
     return Without(view.members, name);
   }
--- a/fleet/tests/controller_test.cc
+++ b/fleet/tests/controller_test.cc
@@ -18,8 +18,9 @@
 
 constexpr Duration kStep = milliseconds(10);
 
-// Controllers in virtual time. Messages take one step; a lost disk is an empty
-// log. Logs survive a restart as they were persisted.
+// Controllers that run in simulated time. A message takes one step. `disks`
+// holds what each controller has persisted, which survives its restart; an
+// empty entry is a lost disk.
 class Cluster {
  public:
   explicit Cluster(int size) {
@@ -38,8 +39,8 @@
     ControllerHooks hooks;
     hooks.send = [this, name](const std::string& to,
                               const messages::PeerMessage& message) {
-      if (cut.count(name) == 0 && cut.count(to) == 0)
-        mail_.push_back({name, to, message});
+      if (disconnected.count(name) == 0 && disconnected.count(to) == 0)
+        in_transit_.push_back({name, to, message});
     };
     hooks.persist = [this, name](const auto& writes) {
       Persist(disks[name], writes);
@@ -57,7 +58,7 @@
     hooks.probe = [](const auto&, ProbePurpose) {};
     hooks.promote = [](const auto&) {};
     hooks.decided = [this](const std::string& event, const auto&, const auto&) {
-      reserves += event == "reserve_given_out" ? 1 : 0;
+      reserve_grants += event == "reserve_given_out" ? 1 : 0;
     };
     nodes[name] = std::make_unique<Controller>(now, options, disks[name],
                                                std::mt19937_64(name[0]), hooks);
@@ -68,15 +69,15 @@
   void Run(Duration duration) {
     for (const Time end = now + duration; now < end;) {
       now += kStep;
-      for (Mail& mail : std::exchange(mail_, {})) {
-        if (mail.message.__isset.controller_notice)
-          ++notices_to[mail.to];
-        const auto it = nodes.find(mail.to);
+      for (SentMessage& sent : std::exchange(in_transit_, {})) {
+        if (sent.message.__isset.controller_notice)
+          ++notices_to[sent.to];
+        const auto it = nodes.find(sent.to);
         if (it != nodes.end())
-          it->second->OnMessage(now, mail.from, mail.message);
-        else if (mail.to.starts_with("entry") &&
-                 mail.message.__isset.proxy_update)
-          updates[mail.to].push_back(mail.message.proxy_update);
+          it->second->OnMessage(now, sent.from, sent.message);
+        else if (sent.to.starts_with("entry") &&
+                 sent.message.__isset.proxy_update)
+          updates[sent.to].push_back(sent.message.proxy_update);
       }
       for (auto& [name, node] : nodes)
         node->Tick(now);
@@ -85,7 +86,7 @@
 
   std::string Leader() const {
     for (const auto& [name, node] : nodes) {
-      if (cut.count(name) == 0 && node->Get(now).kind == Kind::kDone)
+      if (disconnected.count(name) == 0 && node->Get(now).kind == Kind::kDone)
         return name;
     }
     return "";
@@ -110,7 +111,8 @@
     Run(milliseconds(50));
   }
 
-  // Endpoints in what the entry was sent since the last call.
+  // Returns the number of endpoint records sent to the entry since the last
+  // call.
   std::size_t TakeEndpoints(const std::string& entry) {
     std::size_t count = 0;
     for (const messages::ProxyUpdate& update :
@@ -119,17 +121,17 @@
     return count;
   }
 
-  int reserves = 0;  // times that a leader gave them out
+  int reserve_grants = 0;
   Time now = TimeFromMicros(100'000'000);
   std::map<std::string, std::unique_ptr<Controller>> nodes;
   std::map<std::string, consensus::RestoredState> disks;
   std::map<std::string, std::vector<messages::ProxyUpdate>> updates;
   std::map<std::string, std::set<std::string>> last_known;
   std::map<std::string, int> notices_to;
-  std::set<std::string> cut;
+  std::set<std::string> disconnected;
 
  private:
-  struct Mail {
+  struct SentMessage {
     std::string from;
     std::string to;
     messages::PeerMessage message;
@@ -141,10 +143,10 @@
     for (const consensus::LogWrite& write : writes) {
       if (const auto* state = std::get_if<consensus::HardState>(&write)) {
         disk.hard_state = *state;
-      } else if (const auto* cut =
+      } else if (const auto* truncate =
                      std::get_if<consensus::TruncateLog>(&write)) {
         std::erase_if(disk.entries, [&](const messages::LogEntry& entry) {
-          return entry.index >= cut->index;
+          return entry.index >= truncate->index;
         });
       } else if (const auto* add =
                      std::get_if<consensus::AppendEntries>(&write)) {
@@ -161,7 +163,7 @@
   }
 
   std::set<std::string> names_;
-  std::deque<Mail> mail_;
+  std::deque<SentMessage> in_transit_;
 };
 
 std::string OtherThan(const std::string& leader) {
@@ -170,7 +172,8 @@
 
 }  // namespace
 
-// Guards against an acknowledged configuration that is lost or goes back.
+// Guards against an acknowledged configuration that is lost or replaced by an
+// older version.
 TEST_CASE("The highest acknowledged configuration is read back",
           "[fleet][guarantee]") {
   Cluster cluster(3);
@@ -186,12 +189,12 @@
   SECTION("The same version is acknowledged and changes nothing") {
     CHECK(cluster.Put(leader, 5).kind == Kind::kDone);
   }
-  SECTION("Another controller names the leader") {
+  SECTION("A follower redirects to the leader") {
     const auto result = cluster.Put(OtherThan(leader), 9);
     CHECK(result.kind == Kind::kNotLeader);
     CHECK(result.leader == leader);
   }
-  SECTION("It survives the leader and its disk") {
+  SECTION("It survives the loss of the leader and its disk") {
     cluster.Stop(leader);
     cluster.disks[leader] = {};
     cluster.Run(seconds(2));
@@ -201,7 +204,7 @@
     CHECK(cluster.nodes.at(cluster.Leader())->Get(cluster.now).text == "5");
     CHECK(cluster.nodes.at(leader)->state().text() == "5");
   }
-  SECTION("It survives a restart of all") {
+  SECTION("It survives a restart of all controllers") {
     for (const char* name : {"a", "b", "c"})
       cluster.Stop(name);
     for (const char* name : {"a", "b", "c"})
@@ -210,21 +213,21 @@
     REQUIRE_FALSE(cluster.Leader().empty());
     CHECK(cluster.nodes.at(cluster.Leader())->Get(cluster.now).text == "5");
   }
-  SECTION("A leader that is cut off neither answers nor acknowledges") {
-    cluster.cut.insert(leader);
+  SECTION("A disconnected leader neither answers nor acknowledges") {
+    cluster.disconnected.insert(leader);
     cluster.Run(seconds(2));
     CHECK(cluster.nodes.at(leader)->Get(cluster.now).kind != Kind::kDone);
     CHECK(cluster.Put(leader, 6).kind != Kind::kDone);
     const std::string successor = cluster.Leader();
     REQUIRE_FALSE(successor.empty());
     CHECK(cluster.Put(successor, 7).kind == Kind::kDone);
-    cluster.cut.clear();
+    cluster.disconnected.clear();
     cluster.Run(seconds(2));
     CHECK(cluster.nodes.at(leader)->state().text() == "7");
   }
 }
 
-TEST_CASE("Entries are told of a configuration and get it on request",
+TEST_CASE("Entries learn of a new configuration and get it on request",
           "[fleet]") {
   Cluster cluster(3);
   cluster.Run(seconds(3));
@@ -242,7 +245,7 @@
   CHECK(cluster.updates["entry"].back().document == "5");
 }
 
-// Guards against an entry that took up its link again and missed a promotion.
+// Guards against an entry that misses a promotion while its link is down.
 TEST_CASE("An entry on a new link gets all endpoints", "[fleet][guarantee]") {
   Cluster cluster(3);
   cluster.Run(seconds(3));
@@ -278,7 +281,7 @@
   }
 }
 
-// Guards against an owner that gives out less than entries are told to allow.
+// Guards against an owner that gives out less than the limit's window allows.
 TEST_CASE("Shares come from the bucket of the limit's window", "[fleet]") {
   Cluster cluster(3);
   cluster.Run(seconds(3));
@@ -286,25 +289,25 @@
   REQUIRE(cluster.Put(leader, 5).kind == Kind::kDone);
   messages::ProxyReport report;
   report.process = 1;
-  messages::ShareReport hello;
+  messages::ShareReport header;
   messages::ShareReport share;
   share.customer = "customer";
   share.demand_micros = 50 * quota::kRequestMicros;
   for (int i = 0; i < 20; ++i) {
     report.sent_micros = ToMicros(cluster.now);
-    report.shares = {hello, share};
+    report.shares = {header, share};
     cluster.Report("entry", leader, report);
     cluster.Run(milliseconds(200));
     for (const messages::ProxyUpdate& update :
          std::exchange(cluster.updates["entry"], {})) {
-      for (const messages::ShareUpdate& told : update.shares) {
-        hello.owner_term = told.owner_term;
-        if (told.customer.empty())
+      for (const messages::ShareUpdate& share_update : update.shares) {
+        header.owner_term = share_update.owner_term;
+        if (share_update.customer.empty())
           continue;
-        share.owner_term = told.owner_term;
-        share.share_sequence = told.share_sequence;
-        share.rate_micros = told.rate_micros;
-        share.capacity_micros = told.capacity_micros;
+        share.owner_term = share_update.owner_term;
+        share.share_sequence = share_update.share_sequence;
+        share.rate_micros = share_update.rate_micros;
+        share.capacity_micros = share_update.capacity_micros;
       }
     }
   }
@@ -314,31 +317,34 @@
   CHECK(share.capacity_micros <= limit.burst_micros);
 }
 
-// Guards against two leaders that give out the reserves of limits within one
-// judged window, and against reserves that never come back.
-TEST_CASE("The reserves of limits are given out once in a while",
+// Guards against two leaders that grant the reserves of limits within one
+// window in which the use of a limit is judged, and against reserves that are
+// never granted again.
+TEST_CASE("The reserves of limits are granted once per grant interval",
           "[fleet][guarantee]") {
   Cluster cluster(3);
   cluster.Run(seconds(1));
   REQUIRE(cluster.Put(cluster.Leader(), 5).kind == Kind::kDone);
-  CHECK(cluster.reserves == 0);
+  CHECK(cluster.reserve_grants == 0);
   for (int i = 0; i < 3; ++i) {
     const std::string leader = cluster.Leader();
     cluster.Stop(leader);
     cluster.Run(seconds(2));
     cluster.Start(leader, false);
     cluster.Run(milliseconds(300));
-    CHECK(cluster.reserves == 1);
+    CHECK(cluster.reserve_grants == 1);
   }
   cluster.Run(quota::kReserveGrantInterval + seconds(1));
-  CHECK(cluster.reserves == 1);
+  CHECK(cluster.reserve_grants == 1);
   cluster.Stop(cluster.Leader());
   cluster.Run(seconds(2));
-  CHECK(cluster.reserves == 2);
+  CHECK(cluster.reserve_grants == 2);
 }
 
-// Guards against seeds from changed settings that no notice ever reaches.
-TEST_CASE("Controllers that the settings name later are told", "[fleet]") {
+// Guards against controllers that were added to the settings at run time and
+// never receive a notice.
+TEST_CASE("Controllers added to the settings later receive notices",
+          "[fleet]") {
   Cluster cluster(3);
   cluster.Run(seconds(1));
   cluster.nodes.at("a")->AddControllers({"late"});
@@ -349,9 +355,9 @@
   CHECK(cluster.last_known["b"].count("late") == 1);
 }
 
-// Guards against a position that claims to cover commits acknowledged after the
-// primary was asked.
-TEST_CASE("A position is dated by a report that came before the question",
+// Guards against a position that claims to cover commits that were acknowledged
+// after the primary was asked.
+TEST_CASE("A position is dated by a report received before the probe",
           "[fleet][guarantee]") {
   Cluster cluster(3);
   cluster.Run(seconds(3));
@@ -359,7 +365,7 @@
   REQUIRE(cluster.Put(leader, 5).kind == Kind::kDone);
   messages::ProxyReport report;
   report.process = 1;
-  const auto say = [&](std::int64_t sent) {
+  const auto report_sent_at = [&](std::int64_t sent) {
     report.sent_micros = sent;
     cluster.updates["entry"].clear();
     cluster.Report("entry", leader, report);
@@ -369,16 +375,16 @@
                        update.positions.end());
     return positions;
   };
-  say(100);
+  report_sent_at(100);
   const Time asked_at = cluster.now;
   cluster.Run(milliseconds(20));
   cluster.nodes.at(leader)->OnProbe(
       cluster.now, "g", "p", {ProbeResult::Kind::kLeads, 3, 77, asked_at});
-  const auto positions = say(200);
+  const auto positions = report_sent_at(200);
   REQUIRE(positions.size() == 1);
   CHECK(positions[0].report_sent_micros == 100);
   CHECK(positions[0].number == 77);
-  CHECK(say(300).empty());
+  CHECK(report_sent_at(300).empty());
 }
 
 }  // namespace goldcrest::fleet
--- a/fleet/tests/planners_test.cc
+++ b/fleet/tests/planners_test.cc
@@ -15,8 +15,8 @@
 
 constexpr Time kStart = TimeFromMicros(100'000'000);
 
-// A group of primary `p` and replicas `r1`, `r2`, and a planner that watches
-// it.
+// A group with the primary `p` and the replicas `r1` and `r2`, and a planner
+// that monitors it.
 struct Group {
   Time now = kStart;
   routing::EndpointDirectory directory;
@@ -24,7 +24,7 @@
   std::vector<messages::PrimaryAssignment> orders;
   std::vector<messages::PrimaryAssignment> assigned;
   std::int64_t sequence = 0;
-  int asked = 0;  // times that entries were asked for their contacts
+  int contact_requests = 0;
   std::unique_ptr<FailoverPlanner> planner;
 
   Group() {
@@ -37,7 +37,7 @@
     };
     hooks.promote = [this](const auto& order) { orders.push_back(order); };
     hooks.assigned = [this](const auto& order) { assigned.push_back(order); };
-    hooks.ask_contacts = [this] { ++asked; };
+    hooks.request_contacts = [this] { ++contact_requests; };
     hooks.decided = [](const auto&, const auto&, const auto&, const auto&) {};
     planner = std::make_unique<FailoverPlanner>(now, 3, &directory, hooks);
     planner->SetGroups(now, {"g"});
@@ -86,16 +86,17 @@
 
 }  // namespace
 
-// Guards against a promotion on the leader's word alone, while entries that
-// reach the primary are not due to report.
-TEST_CASE("Entries are asked when the leader fails to reach a primary",
-          "[fleet]") {
+// Guards against a promotion that only the leader's probes call for, because
+// entries that reach the primary have no report due.
+TEST_CASE(
+    "Entries are asked to report when the leader fails to reach a primary",
+    "[fleet]") {
   Group group;
   group.Answer("p", ProbeResult::Kind::kLeads);
-  CHECK(group.asked == 0);
+  CHECK(group.contact_requests == 0);
   group.Answer("p", ProbeResult::Kind::kUnreachable);
   group.Answer("p", ProbeResult::Kind::kUnreachable);
-  CHECK(group.asked == 2);
+  CHECK(group.contact_requests == 2);
 }
 
 TEST_CASE("A lost primary is replaced by the replica that has received most",
@@ -124,7 +125,7 @@
     CHECK(group.orders[1].endpoint == "r1");
     CHECK(group.orders[1].order > group.orders[0].order);
   }
-  SECTION("Entries are told once the platform has taken it") {
+  SECTION("Entries are notified once the platform has accepted it") {
     group.planner->OnPromotion(group.now, group.orders[0],
                                PromotionResult::kAccepted);
     REQUIRE(group.assigned.size() == 1);
@@ -135,7 +136,7 @@
   }
 }
 
-// Guards against a promotion because the controller alone lost its link.
+// Guards against a promotion when only the controller can't reach the primary.
 TEST_CASE("A primary that entries reach is not replaced",
           "[fleet][guarantee]") {
   Group group;
@@ -149,7 +150,7 @@
   }));
 }
 
-TEST_CASE("A primary that most entries lost is replaced", "[fleet]") {
+TEST_CASE("A primary that most entries can't reach is replaced", "[fleet]") {
   Group group;
   for (int i = 0; i < 15; ++i) {
     group.Report("e1", 10, 0);
@@ -163,7 +164,7 @@
   }));
 }
 
-TEST_CASE("A primary that leaves hands over", "[fleet]") {
+TEST_CASE("A draining primary is replaced", "[fleet]") {
   Group group;
   group.SetRole("p", true, true);
   group.Advance(milliseconds(20));
@@ -174,7 +175,7 @@
   CHECK(group.orders[0].order > 300'000);
 }
 
-TEST_CASE("A slow answer is no lost primary", "[fleet]") {
+TEST_CASE("A primary that fails for a short time is not replaced", "[fleet]") {
   Group group;
   group.Answer("p", ProbeResult::Kind::kUnreachable);
   group.Advance(milliseconds(300));
@@ -185,7 +186,7 @@
   }));
 }
 
-// Guards against a member that forgot its vote and still counts.
+// Guards against a member that lost its vote with its disk and still counts.
 TEST_CASE("The membership follows lost disks and new controllers",
           "[fleet][guarantee]") {
   MembershipView view;
@@ -201,19 +202,19 @@
     view.members = {"a", "b"};
     CHECK(NextMembership(kStart, view) == Members{"a", "b", "c"});
   }
-  SECTION("A new controller is added, and the silent one removed after it") {
+  SECTION("A new controller is added, then the silent member is removed") {
     view.peers["d"] = {kStart + seconds(10), true, true};
     view.peers["b"].heard_at = kStart + seconds(10);
     const Time now = kStart + seconds(10);
     CHECK(NextMembership(now, view) == Members{"a", "b", "c", "d"});
     view.members = {"a", "b", "c", "d"};
-    // Its next notice may still be the one sent before it was admitted.
+    // The next notice of "d" may have been sent before it was admitted.
     view.changed_at = now;
     CHECK(NextMembership(now, view) == Members{"a", "b", "d"});
     view.peers["d"].joining = false;
     CHECK(NextMembership(now, view) == Members{"a", "b", "d"});
   }
-  SECTION("A silent member stays while nobody replaces it") {
+  SECTION("A silent member stays while there is no replacement") {
     view.peers["b"].heard_at = kStart + seconds(60);
     CHECK_FALSE(NextMembership(kStart + seconds(60), view));
   }
