--- a/consensus/include/goldcrest/consensus/hard_state.h
+++ b/consensus/include/goldcrest/consensus/hard_state.h
@@ -6,13 +6,13 @@
 
 namespace goldcrest::consensus {
 
-//! What a replica must remember, besides its log, to keep its promises after a
-//! restart.
+//! State that a replica must persist in addition to its log (Raft's persistent
+//! state), so that it does not vote twice in a term after a restart.
 struct HardState {
   std::int64_t term = 0;
-  std::string vote;  //!< Member voted for in `term`; empty: none.
-  //! The replica has not been admitted by a committed membership change since
-  //! it started without data. It neither votes nor stands for election.
+  std::string vote;  //!< Member voted for in `term`; empty if none.
+  //! True if the replica started without data and no committed membership
+  //! change has admitted it since. It neither votes nor becomes a candidate.
   bool joining = false;
 
   bool operator==(const HardState&) const = default;
--- a/consensus/include/goldcrest/consensus/output.h
+++ b/consensus/include/goldcrest/consensus/output.h
@@ -13,23 +13,23 @@
 
 namespace goldcrest::consensus {
 
-//! Drops the entries from `index` on.
+//! Removes all entries with an index of at least `index`.
 struct TruncateLog {
   std::int64_t index = 0;
 
   bool operator==(const TruncateLog&) const = default;
 };
 
-//! Appends entries, which follow the last one without a gap.
+//! Appends entries. The first one directly follows the last stored entry.
 struct AppendEntries {
   std::vector<messages::LogEntry> entries;
 
   bool operator==(const AppendEntries&) const = default;
 };
 
-//! Replaces the snapshot and drops the entries up to its last index. The later
-//! entries stay only if the log holds the entry at the snapshot's last index
-//! with the snapshot's last term.
+//! Replaces the stored snapshot and removes the entries up to its last index.
+//! Later entries are kept only if the log's entry at the snapshot's last index
+//! has the snapshot's last term.
 struct SaveSnapshot {
   Snapshot snapshot;
 
@@ -39,20 +39,24 @@
 using LogWrite =
     std::variant<HardState, TruncateLog, AppendEntries, SaveSnapshot>;
 
+//! A message to another member.
 struct Outbound {
   std::string to;  //!< Member name.
   messages::ConsensusMessage message;
 };
 
-//! What the caller does after a call, in this order: make all `writes` durable;
-//! then send `messages`; restore the application from `installed`, if set; then
-//! apply `committed`. `writes` must be durable before the next call.
+//! Actions that the caller of a Replica must take after each call, in this
+//! order: make all `writes` durable, send `messages`, restore the application
+//! from `installed` if it is set, and apply `committed`. `writes` must be
+//! durable before the next call.
 struct Output {
   std::vector<LogWrite> writes;
-  std::vector<Outbound> messages;  //!< May be lost, reordered or duplicated.
-  std::optional<Snapshot> installed;
-  //! In order of index, each index once between restarts. Includes membership
-  //! changes and the empty entry with which a leader begins.
+  std::vector<Outbound>
+      messages;  //!< The transport may lose, reorder or duplicate them.
+  std::optional<Snapshot> installed;  //!< Snapshot received from the leader.
+  //! Newly committed entries in index order, each index once between restarts.
+  //! Includes membership entries and the empty entry that each leader appends
+  //! at the start of its term.
   std::vector<messages::LogEntry> committed;
 };
 
--- a/consensus/include/goldcrest/consensus/proposal.h
+++ b/consensus/include/goldcrest/consensus/proposal.h
@@ -8,12 +8,12 @@
 
 namespace goldcrest::consensus {
 
-//! Answer to a proposal. With kOk the entry is in the leader's log at `index`;
-//! it is decided when `index` is committed: with `term` it is this entry, with
-//! another term this entry is lost.
+//! Result of a proposal. With kOk the entry is in the leader's log at `index`.
+//! Once `index` is committed, the proposal has succeeded if the committed entry
+//! has the term `term`; otherwise the entry was lost.
 struct Proposal {
   ResultCode code = ResultCode::kNotLeader;
-  std::int64_t index = 0;  //!< 0: the entry follows later (see ProposeMembers).
+  std::int64_t index = 0;  //!< 0: appended later (see ProposeMembers).
   std::int64_t term = 0;
   Output output;
 };
--- a/consensus/include/goldcrest/consensus/replica.h
+++ b/consensus/include/goldcrest/consensus/replica.h
@@ -18,16 +18,17 @@
 
 class ReplicaCore;
 
-//! One control member's copy of the replicated log (Raft with pre-vote,
-//! check-quorum and leader lease). Does no I/O and reads no clock; not
-//! thread-safe. Messages may be lost, reordered, duplicated or repeated late,
-//! but a message sent to an earlier process of a member must not reach a later
-//! process that started without that member's disk.
+//! One control member's replica of the log (Raft with pre-vote, check-quorum
+//! and leader lease). Performs no I/O and reads no clock; not thread-safe.
+//! Messages may be lost, reordered, duplicated or delayed, but a message sent
+//! to an earlier process of a member must not reach a later process that
+//! started without that member's disk.
 class Replica {
  public:
   //! Without restored data and without bootstrap members the replica is
-  //! joining: it takes part in replication but not in elections until a
-  //! membership change, made after it made contact, has admitted it.
+  //! joining: it takes part in replication but not in elections until it is
+  //! admitted by a membership change that was logged after it first contacted
+  //! the leader.
   Replica(ReplicaOptions options,
           RestoredState state,
           std::mt19937_64 generator);
@@ -37,60 +38,64 @@
   Replica(const Replica&) = delete;
   Replica& operator=(const Replica&) = delete;
 
-  //! Carries out what is due. Call it at NextDeadline(); earlier is harmless.
+  //! Handles expired timers. Call it at NextDeadline(); an earlier call is
+  //! harmless.
   Output Tick(Time now);
 
   Output Receive(Time now,
                  const std::string& from,
                  const messages::ConsensusMessage& message);
 
-  //! kOk, kNotLeader, or kBodyTooLarge.
+  //! Appends a command to the log. Returns kOk, kNotLeader, or kBodyTooLarge.
   Proposal Propose(Time now, std::string command);
 
-  //! Changes the membership by one member. To replace a member that lost its
-  //! disk, remove it and add it again, whether or not its name changes.
+  //! Adds or removes one member. To replace a member that lost its disk, remove
+  //! it and add it again, whether or not its name changes.
   //!
-  //! A removal is logged at once. An addition first replicates the log to the
-  //! new member; its entry is logged once the member has caught up, so that the
+  //! A removal is logged immediately. An addition first replicates the log to
+  //! the new member and is logged once that member has caught up, so the
   //! proposal has index 0. An addition without progress for `join_timeout` is
-  //! given up; proposing the members in force cancels it.
+  //! abandoned; proposing the current members cancels it.
   //!
-  //! kOk; kNotLeader; kInvalidField: more than one difference, or no member
-  //! left; kMemberNotCaughtUp: an earlier change is pending, the member added
-  //! last has not caught up, or the members that have caught up would not be a
-  //! majority after the change.
+  //! Returns kOk or kNotLeader; kInvalidField if more than one member differs
+  //! or no member would remain; kMemberNotCaughtUp if an earlier change is
+  //! pending, the member added last has not caught up, or the members that have
+  //! caught up would not be a majority after the change.
   Proposal ProposeMembers(Time now, std::vector<std::string> members);
 
-  //! Replaces the log up to `index`, which must be committed and applied, by
-  //! the application's snapshot. Ignored when a snapshot has reached `index`.
+  //! Replaces the log up to `index`, which must be committed and applied, with
+  //! the application's snapshot `data`. Does nothing if a snapshot already
+  //! covers `index`.
   Output Compact(std::int64_t index, std::string data);
 
-  //! Hands leadership to the most advanced other member. Proposals are refused
-  //! and the lease ends; a leader that has not been replaced after the minimum
-  //! election timeout steps down if it has told the target to stand, and goes
-  //! on leading if the target never caught up.
+  //! Transfers leadership to the other member with the longest replicated log.
+  //! Proposals are refused meanwhile, and the lease ends when the target is
+  //! told to start an election. If no other leader has taken over after the
+  //! minimum election timeout, this replica steps down if it has told the
+  //! target, and remains leader if the target never caught up.
   Output TransferLeadership(Time now);
 
-  //! When to call Tick(); the epoch before the first call, kNever when nothing
-  //! is due.
+  //! When to call Tick() next: the epoch before the first call, kNever if no
+  //! timer is running.
   Time NextDeadline() const;
 
   bool IsLeader() const;
-  //! The leader of the current term; empty when unknown.
+  //! The leader of the current term; empty if unknown.
   std::string Leader() const;
   std::int64_t Term() const;
   std::int64_t CommitIndex() const;
   std::int64_t LastIndex() const;
-  //! Last index of the snapshot; 0 without one.
+  //! Last index that the snapshot covers; 0 without a snapshot.
   std::int64_t SnapshotIndex() const;
-  //! In force, which may be before they are committed.
+  //! The current members. A membership change takes effect when it is logged,
+  //! which may be before it is committed.
   std::vector<std::string> Members() const;
   bool IsJoining() const;
 
-  //! No other member can be leader before or at `now`, and everything committed
-  //! under earlier leaders is known here.
+  //! True if no other member can be leader at or before `now` and this replica
+  //! knows every entry committed under earlier leaders.
   bool HoldsLeaderLease(Time now) const;
-  //! When the lease ends unless it is renewed; the epoch without a lease.
+  //! When the lease expires unless it is renewed; the epoch without a lease.
   Time LeaderLeaseEnd() const;
 
  private:
--- a/consensus/include/goldcrest/consensus/replica_options.h
+++ b/consensus/include/goldcrest/consensus/replica_options.h
@@ -12,22 +12,23 @@
 
 struct ReplicaOptions {
   std::string self;  //!< Name of this member.
-  //! Members of a new cluster. Set it for the very first start only: a member
-  //! that lost its disk and starts with it again could vote twice in a term.
+  //! Members of a new cluster. Set only for the first start: a member that lost
+  //! its disk and starts with this list again could vote twice in a term.
   //! Ignored unless the restored state is fresh and the list contains `self`.
   std::vector<std::string> bootstrap_members;
 
   Duration heartbeat_interval = std::chrono::milliseconds(100);
-  //! Election timeouts are drawn from [min, max]. A member refuses its vote for
-  //! the minimum after it has heard from a leader, and after a restart.
+  //! Election timeouts are drawn from [min, max]. A member grants no vote for
+  //! the minimum timeout after a message from a leader and after a restart.
   Duration election_timeout_min = std::chrono::milliseconds(400);
   Duration election_timeout_max = std::chrono::milliseconds(800);
-  //! After a restart, stand and vote before the minimum election timeout once
-  //! every member has said that it does not lead. Members that do not know this
-  //! never say so.
+  //! After a restart, start elections and vote before the minimum election
+  //! timeout has passed, once every member has reported that it neither leads
+  //! nor follows a leader. Members of versions without this option never report
+  //! it.
   bool elect_early = false;
-  //! Longest time without progress before the admission of a new member is
-  //! given up.
+  //! The addition of a new member is abandoned after this time without
+  //! progress.
   Duration join_timeout = std::chrono::seconds(10);
 
   std::size_t max_append_entries = 256;
--- a/consensus/include/goldcrest/consensus/restored_state.h
+++ b/consensus/include/goldcrest/consensus/restored_state.h
@@ -9,14 +9,14 @@
 
 namespace goldcrest::consensus {
 
-//! What storage holds when a replica starts. The members follow from the last
-//! membership entry, or from the snapshot when the log has none.
+//! State read from storage when a replica starts. The members are those of the
+//! last membership entry, or of the snapshot if the log has none.
 struct RestoredState {
-  //! Nothing was ever written: a first start, or the disk was lost.
+  //! True if storage is empty: this is the first start, or the disk was lost.
   bool fresh = true;
   HardState hard_state;
-  Snapshot snapshot;  //!< The application restores itself from its data.
-  std::vector<messages::LogEntry> entries;  //!< Follow the snapshot, no gaps.
+  Snapshot snapshot;  //!< The application restores its state from this.
+  std::vector<messages::LogEntry> entries;  //!< Directly follow the snapshot.
 };
 
 }  // namespace goldcrest::consensus
--- a/consensus/include/goldcrest/consensus/snapshot.h
+++ b/consensus/include/goldcrest/consensus/snapshot.h
@@ -7,11 +7,11 @@
 
 namespace goldcrest::consensus {
 
-//! State of the application after the entry at `last_index`.
+//! State of the application after applying the entry at `last_index`.
 struct Snapshot {
-  std::int64_t last_index = 0;  //!< 0: there is no snapshot.
+  std::int64_t last_index = 0;  //!< 0 if there is no snapshot.
   std::int64_t last_term = 0;
-  std::vector<std::string> members;  //!< In force at `last_index`, sorted.
+  std::vector<std::string> members;  //!< Members at `last_index`, sorted.
   std::string data;
 
   bool operator==(const Snapshot&) const = default;
--- a/consensus/internal/progress.h
+++ b/consensus/internal/progress.h
@@ -9,18 +9,19 @@
 
 namespace goldcrest::consensus {
 
-//! What a leader knows of one other member.
+//! A leader's replication state for one other member.
 struct Progress {
-  std::int64_t next = 1;   //!< First index to send.
-  std::int64_t match = 0;  //!< Highest index known to be held durably.
-  std::int64_t acked_round = 0;
+  std::int64_t next_index = 1;  //!< Next index to send.
+  //! Highest index known to be stored durably by the member.
+  std::int64_t match_index = 0;
+  std::int64_t acked_round = 0;  //!< Latest round that the member acknowledged.
   std::optional<Time> last_contact;
-  //! An append is on its way; the next one goes out with its answer or with
-  //! the next heartbeat.
-  bool waiting = false;
-  //! `next` is a guess; one entry at a time is sent until one is accepted.
+  //! An append awaits its response. The next append is sent on that response or
+  //! on the next heartbeat.
+  bool append_in_flight = false;
+  //! `next_index` is an estimate; appends carry one entry until one succeeds.
   bool probing = true;
-  std::int64_t snapshot_index = 0;  //!< Of the snapshot being sent.
+  std::int64_t snapshot_index = 0;  //!< Last index of the snapshot being sent.
   std::size_t snapshot_offset = 0;
 };
 
--- a/consensus/internal/replica_core.h
+++ b/consensus/internal/replica_core.h
@@ -21,7 +21,7 @@
 
 namespace goldcrest::consensus {
 
-//! Implementation of Replica; see there for the public functions. Spread over
+//! Implementation of Replica, which documents the public functions. Defined in
 //! replica_core.cc, election.cc, replication.cc, snapshot_transfer.cc and
 //! membership.cc.
 class ReplicaCore {
@@ -55,22 +55,25 @@
     kLeader
   };
 
-  // An addition that waits for the new member to catch up.
+  // Addition of a member that has not caught up with the log yet.
   struct Admission {
     std::string name;
     std::vector<std::string> members;
     Time deadline;
-    // Rounds in which an append without entries went to the new member. An
-    // accepted one proves that it held the whole log at that time and knows it.
+    // Rounds in which an append without entries was sent to the new member. If
+    // the member accepts one of them, it held the whole log at that time and
+    // has recorded that (see first_synced_index_).
     std::set<std::int64_t> sync_rounds;
   };
 
+  // Leadership transfer in progress.
   struct Transfer {
     std::string target;
     Time deadline;
-    bool sent = false;
+    bool timeout_now_sent = false;
   };
 
+  // Snapshot of which not all chunks have been received.
   struct PendingSnapshot {
     std::int64_t term = 0;
     std::string from;
@@ -78,14 +81,14 @@
   };
 
   // replica_core.cc
-  void Begin(Time now);
-  Output Finish();
+  void BeginCall(Time now);
+  Output TakeOutput();
   void Send(const std::string& to, messages::ConsensusMessage message);
   void ResetElectionTimer();
   void BecomeFollower(std::int64_t term, const std::string& leader);
   void FollowLeader(std::int64_t term, const std::string& leader);
   bool IsMember(const std::string& name) const;
-  bool CanStand() const;
+  bool IsElectable() const;
   std::vector<std::string> Peers() const;
   void AppendAsLeader(messages::LogEntry entry);
   void AdvanceCommit(std::int64_t index);
@@ -94,17 +97,17 @@
   // election.cc
   void StartPreVote();
   void StartElection(bool leaderless);
-  bool TriesEarly() const;
-  void DrawEarlyAttempt();
+  bool MayElectEarly() const;
+  void ScheduleEarlyPreVote();
   void RequestVotes(bool pre_vote, bool leaderless);
   void CountPreVotes();
   bool IsMajority(const std::set<std::string>& names) const;
   void CountVotes();
   void BecomeLeader();
-  bool FollowsLiveLeader(const messages::VoteRequest& request) const;
+  bool HasLiveLeader(const messages::VoteRequest& request) const;
   bool IsUpToDate(const messages::VoteRequest& request) const;
-  bool WaitsAfterRestart() const;
-  bool MayHaveSupportedOnly(std::int64_t term) const;
+  bool IsInRestartWait() const;
+  bool FollowedNoTermAbove(std::int64_t term) const;
   void OnVoteRequest(const std::string& from,
                      const messages::VoteRequest& request);
   void OnVoteResponse(const std::string& from,
@@ -114,17 +117,17 @@
   void ContinueTransfer();
 
   // replication.cc
-  void Heartbeat();
+  void SendHeartbeats();
   void Replicate();
   void SendAppend(const std::string& to, Progress& progress);
   void OnAppendRequest(const std::string& from,
                        const messages::AppendRequest& request);
-  bool Accept(const messages::AppendRequest& request);
+  bool TryAppend(const messages::AppendRequest& request);
   std::int64_t BackOffIndex(std::int64_t prev_index) const;
   void OnAppendResponse(const std::string& from,
                         const messages::AppendResponse& response);
-  bool IsLive(const Progress& progress) const;
-  void NoteContact(Progress& progress, std::int64_t round) const;
+  bool IsRecentlyActive(const Progress& progress) const;
+  void RecordContact(Progress& progress, std::int64_t round) const;
   void CommitByMajority();
   template <typename Function>
   std::int64_t MajorityValue(std::int64_t own, Function value) const;
@@ -135,18 +138,19 @@
   void SendSnapshotChunk(const std::string& to, Progress& progress);
   void OnSnapshotChunk(const std::string& from,
                        const messages::SnapshotChunk& chunk);
-  bool Collect(const std::string& from, const messages::SnapshotChunk& chunk);
+  bool AddSnapshotChunk(const std::string& from,
+                        const messages::SnapshotChunk& chunk);
   void OnSnapshotResponse(const std::string& from,
                           const messages::SnapshotResponse& response);
 
   // membership.cc
-  void SyncProgress();
+  void UpdateTrackedMembers();
   bool IsCaughtUp(const std::string& name) const;
-  bool ChangePending() const;
+  bool IsMembershipChangePending() const;
   bool MajorityCaughtUp(const std::vector<std::string>& members,
                         const std::string& added) const;
-  bool LastAddedBehind(const std::string& removed) const;
-  void LogMembers(const std::vector<std::string>& members);
+  bool LastAddedMemberLags(const std::string& removed) const;
+  void AppendMembershipEntry(const std::vector<std::string>& members);
   void AdmitIfSynced(const std::string& from, std::int64_t round);
   void ExpireAdmission();
   void OnMembersCommitted(const messages::LogEntry& entry);
@@ -154,7 +158,7 @@
   ReplicaOptions options_;
   std::mt19937_64 generator_;
   HardState hard_state_;
-  std::optional<HardState> saved_hard_state_;  // the last one in an output
+  std::optional<HardState> saved_hard_state_;  // last one in an Output
   ReplicaLog log_;
   std::int64_t commit_index_ = 0;
 
@@ -165,21 +169,22 @@
   Output output_;
 
   Time election_deadline_{};
-  // Before this time the replica supports a leader and gives no vote.
+  // Until this time the replica follows a leader and grants no vote.
   Time vote_refused_until_{};
-  // Before this time the replica may support a leader that it followed before
-  // it restarted; see election.cc.
+  // Until this time the lease of a leader that the replica followed before its
+  // restart may still be valid; see election.cc.
   Time restart_wait_until_{};
-  Time early_attempt_at_{};
+  Time early_pre_vote_at_{};
   std::set<std::string> votes_;
-  // Answers to the current pre-vote: who would vote if no member leads, and who
-  // neither leads nor follows a leader.
-  std::set<std::string> willing_;
-  std::set<std::string> leaderless_;
-  // Of the current pre-vote; an answer to an earlier one says nothing of now.
-  std::int64_t attempt_ = 0;
-
-  // As leader.
+  // Members by their response to the current pre-vote: those that would grant
+  // their vote if no member leads, and those that neither lead nor follow a
+  // leader.
+  std::set<std::string> willing_voters_;
+  std::set<std::string> leaderless_members_;
+  // Identifies the current pre-vote; responses to earlier ones are outdated.
+  std::int64_t pre_vote_attempt_ = 0;
+
+  // Leader state.
   std::map<std::string, Progress> progress_;
   RoundClock rounds_;
   Time heartbeat_deadline_{};
@@ -187,12 +192,12 @@
   std::optional<Admission> admission_;
   std::optional<Transfer> transfer_;
 
-  // As follower.
+  // Follower state.
   std::optional<PendingSnapshot> pending_snapshot_;
-  // While joining: per term, the index at which this replica first held all of
-  // that term's leader's log. A membership entry of that term with a higher
-  // index was logged after this replica started without its data.
-  std::map<std::int64_t, std::int64_t> synced_at_;
+  // While joining: for each term, the index at which this replica first held
+  // the whole log of that term's leader. A membership entry of that term with a
+  // higher index was logged after this replica started without data.
+  std::map<std::int64_t, std::int64_t> first_synced_index_;
 };
 
 }  // namespace goldcrest::consensus
--- a/consensus/internal/replica_log.h
+++ b/consensus/internal/replica_log.h
@@ -12,36 +12,38 @@
 
 namespace goldcrest::consensus {
 
-//! The snapshot and the entries that follow it, in memory.
+//! In-memory log: the latest snapshot and the entries that follow it.
 class ReplicaLog {
  public:
   ReplicaLog(Snapshot snapshot, std::vector<messages::LogEntry> entries);
 
   std::int64_t LastIndex() const;
   std::int64_t LastTerm() const;
-  //! nullopt below the snapshot and beyond the end; 0 at index 0 without one.
+  //! nullopt before the snapshot's last index and after the last entry; 0 at
+  //! index 0 without a snapshot.
   std::optional<std::int64_t> TermAt(std::int64_t index) const;
-  //! `index` must be within (snapshot, end].
+  //! `index` must be in (last index of the snapshot, LastIndex()].
   const messages::LogEntry& At(std::int64_t index) const;
-  //! The lowest index above the snapshot from which on all entries up to
+  //! The lowest index after the snapshot such that all entries from there to
   //! `index` have the same term.
   std::int64_t FirstIndexOfTermAt(std::int64_t index) const;
-  //! Entries from `first` on, at least one if there is one, at most `max_count`
-  //! and about `max_bytes`.
+  //! Entries starting at `first`: at most `max_count` with commands of at most
+  //! `max_bytes` in total, but at least one if there is any.
   std::vector<messages::LogEntry> Slice(std::int64_t first,
                                         std::size_t max_count,
                                         std::size_t max_bytes) const;
 
-  //! Sorted names of the members in force after the last entry.
+  //! Sorted names of the members after the last entry.
   const std::vector<std::string>& Members() const { return members_; }
-  //! Index of the entry, or of the snapshot, that set Members().
+  //! Index of the entry or snapshot that set Members().
   std::int64_t MembersIndex() const { return members_index_; }
   std::vector<std::string> MembersAt(std::int64_t index) const;
 
   void Append(messages::LogEntry entry);
-  //! Drops the entries from `index` on.
+  //! Removes all entries with an index of at least `index`.
   void Truncate(std::int64_t index);
-  //! Later entries stay only if the entry at the snapshot's end matches it.
+  //! Replaces the snapshot and the entries that it covers. Later entries are
+  //! kept only if the entry at the snapshot's last index has its last term.
   void Install(Snapshot snapshot);
 
   const Snapshot& CurrentSnapshot() const { return snapshot_; }
--- a/consensus/internal/round_clock.h
+++ b/consensus/internal/round_clock.h
@@ -9,17 +9,16 @@
 
 namespace goldcrest::consensus {
 
-//! When a leader started its rounds. An answer that echoes a round shows that
-//! its sender followed this leader at or after that time.
+//! Start times of a leader's append rounds. A response with a round's number
+//! shows that its sender followed this leader at or after the round's start.
 class RoundClock {
  public:
-  //! Starts a new round.
-  void Next(Time now);
+  void StartNext(Time now);
   std::int64_t Current() const { return current_; }
   std::optional<Time> StartOf(std::int64_t round) const;
-  //! Forgets the rounds that started before `time`.
+  //! Removes the rounds that started before `time`.
   void Prune(Time time);
-  //! Forgets all rounds; the numbering goes on.
+  //! Removes all rounds; the next round continues the numbering.
   void Clear();
 
  private:
--- a/consensus/src/election.cc
+++ b/consensus/src/election.cc
@@ -1,13 +1,11 @@
-// Elections.
-//
-// A member gives no vote for the minimum election timeout after a restart: it
-// may have answered a leader just before, whose lease counts on that. After a
-// restart of all members nobody holds a lease, and the wait is left out when
-// that is certain: the candidate had the answer of every member that it neither
-// leads nor follows, and the voter can have followed leaders up to the term of
-// the candidate's last entry only. The leader of that term is one of the
-// members that answered, and a leader that has stopped does not lead its term
-// again.
+// A restarted member grants no vote for the minimum election timeout: it may
+// have acknowledged a leader just before the restart, and that leader's lease
+// relies on the acknowledgment. After a restart of all members no lease exists,
+// and the wait is skipped if two conditions prove that. First, every member has
+// told the candidate that it neither leads nor follows a leader. Second, the
+// voter has followed no leader of a later term than that of the candidate's
+// last entry. The leader of that term is then among the members that responded,
+// and a leader that has stopped never leads the same term again.
 
 #include <algorithm>
 #include <utility>
@@ -17,21 +15,23 @@
 namespace goldcrest::consensus {
 namespace {
 
-// Attempts during the wait after a restart, in parts of the minimum election
-// timeout: often enough to find the others soon after they have started, and
-// spread so that two members seldom stand at once.
-constexpr int kEarliestAttemptDivisor = 10;
-constexpr int kLatestAttemptDivisor = 4;
+// Range of the random delay between pre-votes during the wait after a restart,
+// as fractions of the minimum election timeout. The delay is short enough to
+// reach the other members soon after their start, and its spread makes
+// simultaneous candidates rare.
+constexpr int kMinEarlyPreVoteDelayDivisor = 10;
+constexpr int kMaxEarlyPreVoteDelayDivisor = 4;
 
 }  // namespace
 
 void ReplicaCore::StartPreVote() {
   role_ = Role::kPreCandidate;
   leader_.clear();
-  willing_ = {options_.self};
-  leaderless_ = {options_.self};
+  willing_voters_ = {options_.self};
+  leaderless_members_ = {options_.self};
   if (options_.elect_early)
-    attempt_ = std::uniform_int_distribution<std::int64_t>()(generator_);
+    pre_vote_attempt_ =
+        std::uniform_int_distribution<std::int64_t>()(generator_);
   RequestVotes(true, false);
 }
 
@@ -44,35 +44,37 @@
   RequestVotes(false, leaderless);
 }
 
-bool ReplicaCore::WaitsAfterRestart() const {
+bool ReplicaCore::IsInRestartWait() const {
   return now_ < restart_wait_until_;
 }
 
-// True when no leader of a term above `term` can count on this member because
-// of answers that it gave before a restart.
-bool ReplicaCore::MayHaveSupportedOnly(std::int64_t term) const {
+// True if no leader of a term above `term` can rely on acknowledgments that
+// this member sent before a restart. Conservative: false unless `term` is the
+// current term.
+bool ReplicaCore::FollowedNoTermAbove(std::int64_t term) const {
   return hard_state_.term == term;
 }
 
-bool ReplicaCore::TriesEarly() const {
-  return options_.elect_early && CanStand() && WaitsAfterRestart() &&
+bool ReplicaCore::MayElectEarly() const {
+  return options_.elect_early && IsElectable() && IsInRestartWait() &&
          leader_.empty() &&
          (role_ == Role::kFollower || role_ == Role::kPreCandidate) &&
-         MayHaveSupportedOnly(log_.LastTerm());
+         FollowedNoTermAbove(log_.LastTerm());
 }
 
-void ReplicaCore::DrawEarlyAttempt() {
+void ReplicaCore::ScheduleEarlyPreVote() {
   const Duration::rep timeout = options_.election_timeout_min.count();
   std::uniform_int_distribution<Duration::rep> micros(
-      timeout / kEarliestAttemptDivisor, timeout / kLatestAttemptDivisor);
-  early_attempt_at_ = now_ + Duration(micros(generator_));
+      timeout / kMinEarlyPreVoteDelayDivisor,
+      timeout / kMaxEarlyPreVoteDelayDivisor);
+  early_pre_vote_at_ = now_ + Duration(micros(generator_));
 }
 
 void ReplicaCore::RequestVotes(bool pre_vote, bool leaderless) {
   votes_ = {options_.self};
   messages::VoteRequest request;
   request.leaderless = leaderless;
-  request.attempt = attempt_;
+  request.attempt = pre_vote_attempt_;
   request.term = hard_state_.term + (pre_vote ? 1 : 0);
   request.candidate = options_.self;
   request.last_index = log_.LastIndex();
@@ -94,15 +96,16 @@
 }
 
 void ReplicaCore::CountPreVotes() {
-  if (!WaitsAfterRestart() && IsMajority(votes_)) {
+  if (!IsInRestartWait() && IsMajority(votes_)) {
     StartElection(false);
     return;
   }
-  const bool all_leaderless = std::ranges::all_of(
-      log_.Members(),
-      [this](const std::string& name) { return leaderless_.contains(name); });
-  if (options_.elect_early && all_leaderless && IsMajority(willing_) &&
-      MayHaveSupportedOnly(log_.LastTerm()))
+  const bool all_leaderless =
+      std::ranges::all_of(log_.Members(), [this](const std::string& name) {
+        return leaderless_members_.contains(name);
+      });
+  if (options_.elect_early && all_leaderless && IsMajority(willing_voters_) &&
+      FollowedNoTermAbove(log_.LastTerm()))
     StartElection(true);
 }
 
@@ -119,15 +122,15 @@
   leader_since_ = now_;
   votes_.clear();
   rounds_.Clear();
-  rounds_.Next(now_);
+  rounds_.StartNext(now_);
   heartbeat_deadline_ = now_ + options_.heartbeat_interval;
-  SyncProgress();
-  // An entry of an earlier term is committed only below one of this term.
+  UpdateTrackedMembers();
+  // Entries of earlier terms are committed only together with an entry of the
+  // current term, so each leader starts its term with an empty entry.
   AppendAsLeader({});
 }
 
-bool ReplicaCore::FollowsLiveLeader(
-    const messages::VoteRequest& request) const {
+bool ReplicaCore::HasLiveLeader(const messages::VoteRequest& request) const {
   if (!IsLeader())
     return now_ < vote_refused_until_;
   if (transfer_ && transfer_->target == request.candidate)
@@ -147,14 +150,15 @@
   messages::VoteResponse response;
   response.pre_vote = request.pre_vote;
   response.attempt = request.attempt;
-  response.leaderless = !IsLeader() && !FollowsLiveLeader(request);
-  // Whether the wait after a restart may be left out if no member leads.
-  const bool waits = !IsLeader() && WaitsAfterRestart();
-  const bool skips_wait = MayHaveSupportedOnly(request.last_term);
-  // A leader's lease relies on this for real votes too: a vote request may
-  // arrive long after the pre-vote that allowed it.
-  const bool free_to_vote = !FollowsLiveLeader(request) &&
-                            (!waits || (request.leaderless && skips_wait));
+  response.leaderless = !IsLeader() && !HasLiveLeader(request);
+  const bool in_restart_wait = !IsLeader() && IsInRestartWait();
+  // Sufficient only if no member leads, which the candidate checks.
+  const bool may_skip_wait = FollowedNoTermAbove(request.last_term);
+  // Checked for votes as well as pre-votes because the leader lease relies on
+  // it: a vote request may arrive long after the pre-vote that preceded it.
+  const bool free_to_vote =
+      !HasLiveLeader(request) &&
+      (!in_restart_wait || (request.leaderless && may_skip_wait));
   if (free_to_vote && !request.pre_vote && request.term > hard_state_.term)
     BecomeFollower(request.term, "");
   const bool votable = request.pre_vote ? request.term > hard_state_.term
@@ -164,7 +168,7 @@
   const bool supports = votable && !hard_state_.joining && IsUpToDate(request);
   response.granted = free_to_vote && supports;
   response.willing = request.pre_vote && response.leaderless && supports &&
-                     (!waits || skips_wait);
+                     (!in_restart_wait || may_skip_wait);
   if (response.granted && !request.pre_vote) {
     hard_state_.vote = from;
     ResetElectionTimer();
@@ -179,11 +183,11 @@
 void ReplicaCore::OnVoteResponse(const std::string& from,
                                  const messages::VoteResponse& response) {
   if (response.pre_vote && role_ == Role::kPreCandidate &&
-      response.attempt == attempt_) {
+      response.attempt == pre_vote_attempt_) {
     if (response.leaderless)
-      leaderless_.insert(from);
+      leaderless_members_.insert(from);
     if (response.willing)
-      willing_.insert(from);
+      willing_voters_.insert(from);
   }
   if (!response.granted) {
     if (response.term > hard_state_.term)
@@ -202,36 +206,36 @@
 
 void ReplicaCore::OnTimeoutNow(const std::string& from,
                                const messages::TimeoutNow& message) {
-  if (message.term != hard_state_.term || from != leader_ || !CanStand())
+  if (message.term != hard_state_.term || from != leader_ || !IsElectable())
     return;
   StartElection(false);
 }
 
 Output ReplicaCore::TransferLeadership(Time now) {
-  Begin(now);
+  BeginCall(now);
   if (!IsLeader() || transfer_)
-    return Finish();
+    return TakeOutput();
   std::string target;
   std::int64_t best = -1;
   for (const std::string& peer : Peers()) {
     const Progress& progress = progress_[peer];
-    if (!IsLive(progress) || progress.match <= best)
+    if (!IsRecentlyActive(progress) || progress.match_index <= best)
       continue;
-    best = progress.match;
+    best = progress.match_index;
     target = peer;
   }
   if (!target.empty()) {
     transfer_ = Transfer{target, now_ + options_.election_timeout_min};
     ContinueTransfer();
   }
-  return Finish();
+  return TakeOutput();
 }
 
 void ReplicaCore::ContinueTransfer() {
-  if (!transfer_ || transfer_->sent ||
-      progress_[transfer_->target].match < log_.LastIndex())
+  if (!transfer_ || transfer_->timeout_now_sent ||
+      progress_[transfer_->target].match_index < log_.LastIndex())
     return;
-  transfer_->sent = true;
+  transfer_->timeout_now_sent = true;
   messages::TimeoutNow timeout_now;
   timeout_now.term = hard_state_.term;
   messages::ConsensusMessage message;
--- a/consensus/src/membership.cc
+++ b/consensus/src/membership.cc
@@ -18,7 +18,7 @@
 
 Proposal ReplicaCore::ProposeMembers(Time now,
                                      std::vector<std::string> members) {
-  Begin(now);
+  BeginCall(now);
   std::ranges::sort(members);
   const auto added = Difference(members, log_.Members());
   const auto removed = Difference(log_.Members(), members);
@@ -26,8 +26,8 @@
   const bool valid = !members.empty() && !members.front().empty() &&
                      std::ranges::adjacent_find(members) == members.end() &&
                      added.size() + removed.size() <= 1;
-  const std::string newcomer = added.empty() ? "" : added.front();
-  const std::string leaver = removed.empty() ? "" : removed.front();
+  const std::string added_member = added.empty() ? "" : added.front();
+  const std::string removed_member = removed.empty() ? "" : removed.front();
   Proposal proposal;
   if (!IsLeader() || transfer_) {
     proposal.code = ResultCode::kNotLeader;
@@ -35,30 +35,31 @@
     proposal.code = ResultCode::kInvalidField;
   } else if (cancel) {
     admission_.reset();
-    SyncProgress();
+    UpdateTrackedMembers();
     proposal.code = ResultCode::kOk;
-  } else if (ChangePending() || LastAddedBehind(leaver) ||
-             !MajorityCaughtUp(members, newcomer)) {
+  } else if (IsMembershipChangePending() ||
+             LastAddedMemberLags(removed_member) ||
+             !MajorityCaughtUp(members, added_member)) {
     proposal.code = ResultCode::kMemberNotCaughtUp;
   } else {
     proposal.code = ResultCode::kOk;
     proposal.term = hard_state_.term;
-    if (newcomer.empty()) {
-      LogMembers(members);
+    if (added_member.empty()) {
+      AppendMembershipEntry(members);
       proposal.index = log_.LastIndex();
     } else {
       admission_ = Admission{
-          newcomer, std::move(members), now_ + options_.join_timeout, {}};
-      SyncProgress();
+          added_member, std::move(members), now_ + options_.join_timeout, {}};
+      UpdateTrackedMembers();
       Replicate();
     }
   }
-  proposal.output = Finish();
+  proposal.output = TakeOutput();
   return proposal;
 }
 
-//! Keeps a Progress for each other member and the one being admitted.
-void ReplicaCore::SyncProgress() {
+//! Updates progress_ to hold the other members and the one being added.
+void ReplicaCore::UpdateTrackedMembers() {
   std::vector<std::string> names = Peers();
   if (admission_)
     names.push_back(admission_->name);
@@ -68,7 +69,7 @@
   for (const std::string& name : names) {
     const auto [it, inserted] = progress_.try_emplace(name);
     if (inserted)
-      it->second.next = log_.LastIndex() + 1;
+      it->second.next_index = log_.LastIndex() + 1;
   }
 }
 
@@ -76,13 +77,13 @@
   if (name == options_.self)
     return true;
   const auto it = progress_.find(name);
-  return it != progress_.end() && it->second.match >= commit_index_ &&
-         IsLive(it->second);
+  return it != progress_.end() && it->second.match_index >= commit_index_ &&
+         IsRecentlyActive(it->second);
 }
 
-//! Also before the leader has committed an entry of its own term: until then
-//! it may not know whether an earlier change is decided.
-bool ReplicaCore::ChangePending() const {
+//! Also true until the leader has committed an entry of its own term: until
+//! then it does not know whether an earlier change is committed.
+bool ReplicaCore::IsMembershipChangePending() const {
   return admission_ || log_.MembersIndex() > commit_index_ ||
          log_.TermAt(commit_index_) != hard_state_.term;
 }
@@ -95,19 +96,20 @@
   return static_cast<std::size_t>(count) > members.size() / 2;
 }
 
-bool ReplicaCore::LastAddedBehind(const std::string& removed) const {
+bool ReplicaCore::LastAddedMemberLags(const std::string& removed) const {
   const std::int64_t index = log_.MembersIndex();
   if (index <= log_.CurrentSnapshot().last_index)
     return false;
   const auto before = log_.MembersAt(index - 1);
   if (before.empty())
-    return false;  // The bootstrap entry adds no replacement.
+    return false;  // The bootstrap entry adds no member to a running cluster.
   const auto added = Difference(log_.Members(), before);
   return !added.empty() && added.front() != removed &&
          !IsCaughtUp(added.front());
 }
 
-void ReplicaCore::LogMembers(const std::vector<std::string>& members) {
+void ReplicaCore::AppendMembershipEntry(
+    const std::vector<std::string>& members) {
   messages::LogEntry entry;
   entry.__set_members(members);
   AppendAsLeader(std::move(entry));
@@ -119,31 +121,32 @@
     return;
   const std::vector<std::string> members = std::move(admission_->members);
   admission_.reset();
-  LogMembers(members);
+  AppendMembershipEntry(members);
 }
 
 void ReplicaCore::ExpireAdmission() {
   if (!admission_ || now_ < admission_->deadline)
     return;
   admission_.reset();
-  SyncProgress();
+  UpdateTrackedMembers();
 }
 
 void ReplicaCore::OnMembersCommitted(const messages::LogEntry& entry) {
   const auto contains_self = [this](const std::vector<std::string>& members) {
     return std::ranges::binary_search(members, options_.self);
   };
-  // A later entry may have added this member again.
+  // Steps down only if no later entry has added this member again.
   if (IsLeader() && !contains_self(entry.members) && !IsMember(options_.self)) {
-    Heartbeat();  // Tells the others that its removal is committed.
+    // Informs the other members that the removal is committed.
+    SendHeartbeats();
     BecomeFollower(hard_state_.term, "");
     return;
   }
   if (!hard_state_.joining || !contains_self(entry.members) ||
       contains_self(log_.MembersAt(entry.index - 1)))
     return;
-  const auto synced = synced_at_.find(entry.term);
-  if (synced != synced_at_.end() && entry.index > synced->second)
+  const auto synced = first_synced_index_.find(entry.term);
+  if (synced != first_synced_index_.end() && entry.index > synced->second)
     hard_state_.joining = false;
 }
 
--- a/consensus/src/replica_core.cc
+++ b/consensus/src/replica_core.cc
@@ -6,8 +6,8 @@
 namespace goldcrest::consensus {
 namespace {
 
-// Term of the entry with which every bootstrap member begins its log. All
-// write the same entry, so that it needs no election.
+// Term of the first log entry, which lists the bootstrap members. Every
+// bootstrap member writes the same entry, so it needs no leader.
 constexpr std::int64_t kBootstrapTerm = 1;
 
 messages::LogEntry BootstrapEntry(std::vector<std::string> members) {
@@ -45,17 +45,17 @@
 }
 
 Output ReplicaCore::Tick(Time now) {
-  Begin(now);
+  BeginCall(now);
   if (IsLeader()) {
     TickLeader();
-  } else if (CanStand() && now_ >= election_deadline_) {
+  } else if (IsElectable() && now_ >= election_deadline_) {
     ResetElectionTimer();
     StartPreVote();
-  } else if (TriesEarly() && now_ >= early_attempt_at_) {
-    DrawEarlyAttempt();
+  } else if (MayElectEarly() && now_ >= early_pre_vote_at_) {
+    ScheduleEarlyPreVote();
     StartPreVote();
   }
-  return Finish();
+  return TakeOutput();
 }
 
 void ReplicaCore::TickLeader() {
@@ -64,9 +64,9 @@
     return;
   }
   if (transfer_ && now_ >= transfer_->deadline) {
-    // A late TimeoutNow of this term could still elect the target during a new
-    // lease of this term.
-    if (transfer_->sent) {
+    // A delayed TimeoutNow could still make the target leader while this
+    // replica holds a renewed lease of the current term.
+    if (transfer_->timeout_now_sent) {
       BecomeFollower(hard_state_.term, "");
       return;
     }
@@ -74,15 +74,15 @@
   }
   ExpireAdmission();
   if (now_ >= heartbeat_deadline_)
-    Heartbeat();
+    SendHeartbeats();
 }
 
 Output ReplicaCore::Receive(Time now,
                             const std::string& from,
                             const messages::ConsensusMessage& message) {
-  Begin(now);
+  BeginCall(now);
   if (from == options_.self)
-    return Finish();
+    return TakeOutput();
   if (message.__isset.vote_request) {
     OnVoteRequest(from, message.vote_request);
   } else if (message.__isset.vote_response) {
@@ -98,11 +98,11 @@
   } else if (message.__isset.timeout_now) {
     OnTimeoutNow(from, message.timeout_now);
   }
-  return Finish();
+  return TakeOutput();
 }
 
 Proposal ReplicaCore::Propose(Time now, std::string command) {
-  Begin(now);
+  BeginCall(now);
   Proposal proposal;
   if (!IsLeader() || transfer_) {
     proposal.code = ResultCode::kNotLeader;
@@ -116,13 +116,13 @@
     proposal.index = log_.LastIndex();
     proposal.term = hard_state_.term;
   }
-  proposal.output = Finish();
+  proposal.output = TakeOutput();
   return proposal;
 }
 
 Output ReplicaCore::Compact(std::int64_t index, std::string data) {
   if (index <= log_.CurrentSnapshot().last_index || index > commit_index_)
-    return Finish();
+    return TakeOutput();
   Snapshot snapshot;
   snapshot.last_index = index;
   snapshot.last_term = log_.At(index).term;
@@ -130,17 +130,17 @@
   snapshot.data = std::move(data);
   output_.writes.emplace_back(SaveSnapshot{snapshot});
   log_.Install(std::move(snapshot));
-  return Finish();
+  return TakeOutput();
 }
 
 Time ReplicaCore::NextDeadline() const {
   if (!started_)
     return Time{};
   if (!IsLeader()) {
-    if (!CanStand())
+    if (!IsElectable())
       return kNever;
-    return TriesEarly() ? std::min(election_deadline_, early_attempt_at_)
-                        : election_deadline_;
+    return MayElectEarly() ? std::min(election_deadline_, early_pre_vote_at_)
+                           : election_deadline_;
   }
   Time deadline = std::min(heartbeat_deadline_,
                            QuorumContact() + options_.election_timeout_max);
@@ -151,20 +151,20 @@
   return deadline;
 }
 
-void ReplicaCore::Begin(Time now) {
+void ReplicaCore::BeginCall(Time now) {
   now_ = now;
   if (started_)
     return;
   started_ = true;
-  // Before a restart the replica may have answered a leader, whose lease
-  // counts on it.
+  // The replica may have acknowledged a leader before a restart, and that
+  // leader's lease relies on the acknowledgment.
   restart_wait_until_ = now_ + options_.election_timeout_min;
   ResetElectionTimer();
   if (options_.elect_early)
-    DrawEarlyAttempt();
+    ScheduleEarlyPreVote();
 }
 
-Output ReplicaCore::Finish() {
+Output ReplicaCore::TakeOutput() {
   if (saved_hard_state_ != hard_state_) {
     output_.writes.insert(output_.writes.begin(), hard_state_);
     saved_hard_state_ = hard_state_;
@@ -211,7 +211,7 @@
   return std::ranges::binary_search(log_.Members(), name);
 }
 
-bool ReplicaCore::CanStand() const {
+bool ReplicaCore::IsElectable() const {
   return !hard_state_.joining && IsMember(options_.self);
 }
 
@@ -226,7 +226,7 @@
   entry.index = log_.LastIndex() + 1;
   output_.writes.emplace_back(AppendEntries{{entry}});
   log_.Append(std::move(entry));
-  SyncProgress();
+  UpdateTrackedMembers();
   Replicate();
   CommitByMajority();
 }
--- a/consensus/src/replication.cc
+++ b/consensus/src/replication.cc
@@ -7,8 +7,9 @@
 namespace goldcrest::consensus {
 namespace {
 
-// Clocks of two members may differ in speed by this share of a lease.
-constexpr int kClockDriftPercent = 10;
+// Largest difference in speed between the clocks of two members. The lease is
+// shortened by this share.
+constexpr int kMaxClockDriftPercent = 10;
 
 bool IsWellFormed(const messages::AppendRequest& request) {
   std::int64_t index = request.prev_index;
@@ -25,10 +26,10 @@
 
 }  // namespace
 
-void ReplicaCore::Heartbeat() {
-  rounds_.Next(now_);
+void ReplicaCore::SendHeartbeats() {
+  rounds_.StartNext(now_);
   heartbeat_deadline_ = now_ + options_.heartbeat_interval;
-  // Older rounds count neither for the lease nor for check-quorum.
+  // Neither the lease nor check-quorum uses older rounds.
   rounds_.Prune(now_ - 2 * options_.election_timeout_max);
   for (auto& [name, progress] : progress_)
     SendAppend(name, progress);
@@ -36,30 +37,31 @@
 
 void ReplicaCore::Replicate() {
   for (auto& [name, progress] : progress_) {
-    if (!progress.waiting)
+    if (!progress.append_in_flight)
       SendAppend(name, progress);
   }
 }
 
 void ReplicaCore::SendAppend(const std::string& to, Progress& progress) {
-  progress.waiting = true;
-  const auto prev_term = log_.TermAt(progress.next - 1);
+  progress.append_in_flight = true;
+  const auto prev_term = log_.TermAt(progress.next_index - 1);
   if (!prev_term) {
     SendSnapshotChunk(to, progress);
     return;
   }
-  // A member that does not answer is probed with little data.
+  // An unresponsive member is sent one entry at a time.
   messages::AppendRequest request;
   request.term = hard_state_.term;
-  request.prev_index = progress.next - 1;
+  request.prev_index = progress.next_index - 1;
   request.prev_term = *prev_term;
-  request.entries = log_.Slice(
-      progress.next,
-      IsLive(progress) && !progress.probing ? options_.max_append_entries : 1,
-      options_.max_append_bytes);
+  request.entries = log_.Slice(progress.next_index,
+                               IsRecentlyActive(progress) && !progress.probing
+                                   ? options_.max_append_entries
+                                   : 1,
+                               options_.max_append_bytes);
   request.commit_index = commit_index_;
   if (admission_ && admission_->name == to) {
-    rounds_.Next(now_);
+    rounds_.StartNext(now_);
     if (request.entries.empty())
       admission_->sync_rounds.insert(rounds_.Current());
   }
@@ -78,10 +80,10 @@
   if (request.term < hard_state_.term) {
     response.last_index = log_.LastIndex();
   } else if (request.term == hard_state_.term && IsLeader()) {
-    return;  // Two leaders in one term can't be.
+    return;  // Invalid: a term has at most one leader.
   } else {
     FollowLeader(request.term, from);
-    response.success = Accept(request);
+    response.success = TryAppend(request);
     if (response.success) {
       response.match_index = request.prev_index +
                              static_cast<std::int64_t>(request.entries.size());
@@ -95,8 +97,8 @@
   Send(from, std::move(message));
 }
 
-bool ReplicaCore::Accept(const messages::AppendRequest& request) {
-  // What is committed here is in the log of every later leader.
+bool ReplicaCore::TryAppend(const messages::AppendRequest& request) {
+  // Committed entries need no check: every later leader's log contains them.
   if (request.prev_index > commit_index_ &&
       log_.TermAt(request.prev_index) != request.prev_term)
     return false;
@@ -117,7 +119,7 @@
   if (!appended.entries.empty())
     output_.writes.emplace_back(std::move(appended));
   if (hard_state_.joining && request.entries.empty())
-    synced_at_.try_emplace(request.term, request.prev_index);
+    first_synced_index_.try_emplace(request.term, request.prev_index);
   const auto matched =
       request.prev_index + static_cast<std::int64_t>(request.entries.size());
   AdvanceCommit(std::min(request.commit_index, matched));
@@ -127,7 +129,7 @@
 std::int64_t ReplicaCore::BackOffIndex(std::int64_t prev_index) const {
   if (prev_index > log_.LastIndex())
     return log_.LastIndex();
-  // Skips the whole term that conflicts, in one answer.
+  // Skips all entries of the conflicting term with one response.
   return std::max(commit_index_, log_.FirstIndexOfTermAt(prev_index) - 1);
 }
 
@@ -142,40 +144,41 @@
       it == progress_.end() || response.match_index > log_.LastIndex())
     return;
   Progress& progress = it->second;
-  NoteContact(progress, response.round);
+  RecordContact(progress, response.round);
   if (!response.success) {
-    // The answer may be old, so that it never raises `next`. A member may also
-    // report less than it once held, if it lost its disk.
-    progress.next =
-        std::clamp<std::int64_t>(response.last_index + 1, 1,
-                                 std::max<std::int64_t>(progress.next - 1, 1));
-    progress.match = std::min(progress.match, progress.next - 1);
+    // The response may be outdated, so it never raises `next_index`. A member
+    // that lost its disk reports less than it had acknowledged before.
+    progress.next_index = std::clamp<std::int64_t>(
+        response.last_index + 1, 1,
+        std::max<std::int64_t>(progress.next_index - 1, 1));
+    progress.match_index =
+        std::min(progress.match_index, progress.next_index - 1);
     progress.probing = true;
     SendAppend(from, progress);
     return;
   }
   progress.probing = false;
-  if (response.match_index > progress.match) {
-    progress.match = response.match_index;
+  if (response.match_index > progress.match_index) {
+    progress.match_index = response.match_index;
     if (admission_ && admission_->name == from)
       admission_->deadline = now_ + options_.join_timeout;
   }
-  progress.next = std::max(progress.next, progress.match + 1);
-  if (progress.next <= log_.LastIndex())
+  progress.next_index = std::max(progress.next_index, progress.match_index + 1);
+  if (progress.next_index <= log_.LastIndex())
     SendAppend(from, progress);
   AdmitIfSynced(from, response.round);
   ContinueTransfer();
   CommitByMajority();
 }
 
-bool ReplicaCore::IsLive(const Progress& progress) const {
+bool ReplicaCore::IsRecentlyActive(const Progress& progress) const {
   return progress.last_contact &&
          *progress.last_contact + options_.election_timeout_max > now_;
 }
 
-void ReplicaCore::NoteContact(Progress& progress, std::int64_t round) const {
+void ReplicaCore::RecordContact(Progress& progress, std::int64_t round) const {
   progress.last_contact = now_;
-  progress.waiting = false;
+  progress.append_in_flight = false;
   progress.acked_round =
       std::max(progress.acked_round, std::min(round, rounds_.Current()));
 }
@@ -183,9 +186,9 @@
 void ReplicaCore::CommitByMajority() {
   if (!IsLeader())
     return;
-  const std::int64_t index =
-      MajorityValue(log_.LastIndex(),
-                    [](const Progress& progress) { return progress.match; });
+  const std::int64_t index = MajorityValue(
+      log_.LastIndex(),
+      [](const Progress& progress) { return progress.match_index; });
   if (index > commit_index_ && log_.TermAt(index) == hard_state_.term)
     AdvanceCommit(index);
 }
@@ -221,15 +224,15 @@
 Time ReplicaCore::LeaderLeaseEnd() const {
   if (!IsLeader() || log_.TermAt(commit_index_) != hard_state_.term)
     return Time{};
-  // The target may win at any time, with its own vote, although it has
-  // acknowledged a round.
-  if (transfer_ && transfer_->sent)
+  // The target may be elected at any time: it votes for itself although it has
+  // acknowledged a round of this leader.
+  if (transfer_ && transfer_->timeout_now_sent)
     return Time{};
   const auto start = rounds_.StartOf(MajorityRound());
   if (!start)
     return Time{};
   return *start +
-         options_.election_timeout_min * (100 - kClockDriftPercent) / 100;
+         options_.election_timeout_min * (100 - kMaxClockDriftPercent) / 100;
 }
 
 }  // namespace goldcrest::consensus
--- a/consensus/src/round_clock.cc
+++ b/consensus/src/round_clock.cc
@@ -2,7 +2,7 @@
 
 namespace goldcrest::consensus {
 
-void RoundClock::Next(Time now) {
+void RoundClock::StartNext(Time now) {
   starts_[++current_] = now;
 }
 
--- a/consensus/src/snapshot_transfer.cc
+++ b/consensus/src/snapshot_transfer.cc
@@ -38,7 +38,7 @@
     FollowLeader(chunk.term, from);
     if (chunk.last_index <= commit_index_) {
       response.installed = true;
-    } else if (Collect(from, chunk)) {
+    } else if (AddSnapshotChunk(from, chunk)) {
       Snapshot snapshot = std::move(pending_snapshot_->snapshot);
       output_.writes.emplace_back(SaveSnapshot{snapshot});
       output_.installed = snapshot;
@@ -58,9 +58,10 @@
   Send(from, std::move(message));
 }
 
-//! Adds the chunk if it is the next one; true when the snapshot is complete.
-bool ReplicaCore::Collect(const std::string& from,
-                          const messages::SnapshotChunk& chunk) {
+//! Appends the chunk if it is the next one. Returns true if the snapshot is
+//! then complete.
+bool ReplicaCore::AddSnapshotChunk(const std::string& from,
+                                   const messages::SnapshotChunk& chunk) {
   const bool same = pending_snapshot_ && pending_snapshot_->from == from &&
                     pending_snapshot_->term == chunk.term &&
                     pending_snapshot_->snapshot.last_index == chunk.last_index;
@@ -87,20 +88,21 @@
   if (!IsLeader() || response.term != hard_state_.term || it == progress_.end())
     return;
   Progress& progress = it->second;
-  NoteContact(progress, response.round);
+  RecordContact(progress, response.round);
   if (admission_ && admission_->name == from)
     admission_->deadline = now_ + options_.join_timeout;
   const Snapshot& snapshot = log_.CurrentSnapshot();
   if (response.installed && response.last_index <= log_.LastIndex()) {
-    progress.match = std::max(progress.match, response.last_index);
-    progress.next = std::max(progress.next, progress.match + 1);
+    progress.match_index = std::max(progress.match_index, response.last_index);
+    progress.next_index =
+        std::max(progress.next_index, progress.match_index + 1);
     progress.probing = false;
     SendAppend(from, progress);
     CommitByMajority();
     return;
   }
-  // An answer without progress is a duplicate or asks for a lost chunk; the
-  // next heartbeat sends that chunk again.
+  // A response that does not advance the offset is a duplicate or reports a
+  // lost chunk, which the next heartbeat sends again.
   const auto offset =
       static_cast<std::size_t>(std::max<std::int64_t>(response.next_offset, 0));
   if (response.last_index != snapshot.last_index ||
--- a/consensus/tests/cluster.h
+++ b/consensus/tests/cluster.h
@@ -16,18 +16,19 @@
 
 namespace goldcrest::consensus {
 
-//! Replicas over one message queue and virtual time. Checks with every output
-//! that no two replicas commit different entries at one index.
+//! Simulated cluster of replicas with one message queue and virtual time.
+//! Checks on every output that no two replicas commit different entries at one
+//! index.
 class Cluster {
  public:
   struct Node {
     std::optional<Replica> replica;
-    RestoredState disk;  // all that a restart keeps
+    RestoredState disk;  // the only state that survives a restart
     std::vector<messages::LogEntry> committed;
   };
   struct Envelope {
     std::string from;
-    Outbound out;
+    Outbound outbound;
   };
 
   explicit Cluster(std::vector<std::string> members) {
@@ -36,7 +37,7 @@
     Advance({});  // writes the bootstrap entry
   }
 
-  //! Starts or restarts a process with what is on its disk.
+  //! Starts or restarts a member with the state on its disk.
   void Start(const std::string& name, std::vector<std::string> bootstrap = {}) {
     options.self = name;
     options.elect_early = true;
@@ -45,59 +46,71 @@
     node.replica.emplace(options, node.disk, std::mt19937_64(++seed));
   }
 
-  //! Loses the disk of a member; messages to the old process are lost with it.
-  void Wipe(const std::string& name) {
-    std::erase_if(queue, [&](const auto& e) { return e.out.to == name; });
+  //! Restarts a member without its disk and drops the messages to its earlier
+  //! process.
+  void RestartWithEmptyDisk(const std::string& name) {
+    std::erase_if(queue, [&](const auto& envelope) {
+      return envelope.outbound.to == name;
+    });
     nodes[name].disk = {};
     Start(name);
   }
 
   Replica& operator[](const std::string& name) { return *nodes[name].replica; }
 
-  Output Take(const std::string& name, Output output) {
+  //! Stores the writes, queues the messages and records the committed entries.
+  Output HandleOutput(const std::string& name, Output output) {
     Node& node = nodes[name];
     for (const LogWrite& write : output.writes)
       std::visit([&](const auto& w) { Store(node.disk, w); }, write);
-    for (const Outbound& out : output.messages)
-      queue.push_back({name, out});
+    for (const Outbound& outbound : output.messages)
+      queue.push_back({name, outbound});
     for (const messages::LogEntry& entry : output.committed) {
       node.committed.push_back(entry);
-      if (decided.try_emplace(entry.index, entry).first->second != entry)
+      if (committed_by_index.try_emplace(entry.index, entry).first->second !=
+          entry)
         throw std::logic_error("two entries committed at one index");
     }
     return output;
   }
 
-  void Deliver(const Envelope& e) {
-    if (cut.contains(e.from) || cut.contains(e.out.to) ||
-        !nodes.contains(e.out.to))
+  void Deliver(const Envelope& envelope) {
+    if (isolated.contains(envelope.from) ||
+        isolated.contains(envelope.outbound.to) ||
+        !nodes.contains(envelope.outbound.to))
       return;
-    Take(e.out.to, (*this)[e.out.to].Receive(now, e.from, e.out.message));
+    HandleOutput(envelope.outbound.to,
+                 (*this)[envelope.outbound.to].Receive(
+                     now, envelope.from, envelope.outbound.message));
   }
 
-  void Settle() {
+  //! Delivers queued messages, and those sent in response, until none is left.
+  void DeliverAll() {
     for (; !queue.empty(); queue.pop_front())
       Deliver(Envelope(queue.front()));
   }
 
+  //! Advances the clock and runs the expired timers; delivers no message.
   void Advance(Duration duration) {
     now += duration;
     for (auto& [name, node] : nodes)
-      Take(name, node.replica->Tick(now));
+      HandleOutput(name, node.replica->Tick(now));
   }
 
+  //! Runs the whole cluster in steps of 10 ms.
   void Run(Duration duration) {
     for (const Time end = now + duration; now < end;) {
       Advance(std::chrono::milliseconds(10));
-      Settle();
+      DeliverAll();
     }
   }
 
-  //! The leader of the highest term among those that are not cut off.
+  //! The leader of the highest term among the members that are not isolated;
+  //! empty if there is none.
   std::string Leader() {
     std::string leader;
     for (auto& [name, node] : nodes) {
-      if (node.replica->IsLeader() && !cut.contains(name) &&
+      if (node.replica->IsLeader() && !isolated.contains(name) &&
           (leader.empty() || node.replica->Term() > (*this)[leader].Term()))
         leader = name;
     }
@@ -106,13 +119,13 @@
 
   ResultCode Propose(const std::string& name, std::string command) {
     Proposal proposal = (*this)[name].Propose(now, std::move(command));
-    Take(name, std::move(proposal.output));
+    HandleOutput(name, std::move(proposal.output));
     return proposal.code;
   }
 
   ResultCode SetMembers(std::vector<std::string> members) {
     Proposal proposal = (*this)[Leader()].ProposeMembers(now, members);
-    Take(Leader(), std::move(proposal.output));
+    HandleOutput(Leader(), std::move(proposal.output));
     return proposal.code;
   }
 
@@ -127,8 +140,8 @@
   ReplicaOptions options;
   std::map<std::string, Node> nodes;
   std::deque<Envelope> queue;
-  std::set<std::string> cut;  // reach nobody
-  std::map<std::int64_t, messages::LogEntry> decided;
+  std::set<std::string> isolated;  // members that can neither send nor receive
+  std::map<std::int64_t, messages::LogEntry> committed_by_index;
   Time now = TimeFromMicros(1'000'000);
   unsigned seed = 0;
 
--- a/consensus/tests/election_test.cc
+++ b/consensus/tests/election_test.cc
@@ -10,66 +10,74 @@
 
 using namespace std::chrono_literals;
 
-TEST_CASE("Three members elect one leader and commit on all", "[consensus]") {
-  Cluster cluster(kThree);
+TEST_CASE("Three members elect one leader and commit on every member",
+          "[consensus]") {
+  Cluster cluster(kThreeMembers);
   cluster.Run(2s);
   REQUIRE_FALSE(cluster.Leader().empty());
   CHECK(cluster.Propose(cluster.Leader(), "x") == ResultCode::kOk);
   CHECK(cluster.Propose(Followers(cluster).front(), "y") ==
         ResultCode::kNotLeader);
   cluster.Run(200ms);
-  for (const std::string& name : kThree) {
+  for (const std::string& name : kThreeMembers) {
     CHECK(cluster[name].Leader() == cluster.Leader());
     CHECK(cluster.Committed(name, "x"));
   }
 }
 
-// Guards against a member that was cut off and forces an election on return.
+// Guards against an election forced by a member that reconnects after
+// isolation.
 TEST_CASE("Pre-vote keeps an isolated member from disturbing the leader",
           "[consensus]") {
-  Cluster cluster(kThree);
+  Cluster cluster(kThreeMembers);
   cluster.Run(2s);
   const std::string leader = cluster.Leader();
   const std::int64_t term = cluster[leader].Term();
-  cluster.cut = {Followers(cluster).front()};
+  cluster.isolated = {Followers(cluster).front()};
   cluster.Run(10s);
-  cluster.cut.clear();
+  cluster.isolated.clear();
   cluster.Run(2s);
   CHECK(cluster[leader].IsLeader());
   CHECK(cluster[leader].Term() == term);
 }
 
-// Guards against two leaders in one term after a crash between vote and answer.
-TEST_CASE("A vote is written before it is sent and binds after a restart",
-          "[consensus]") {
-  Cluster cluster(kThree);
+// Guards against two leaders in one term after a crash between recording a vote
+// and sending the response.
+TEST_CASE(
+    "A vote is persisted before it is sent and still binds after a restart",
+    "[consensus]") {
+  Cluster cluster(kThreeMembers);
   cluster.Advance(0s);
   cluster.now += 401ms;
-  const Output output = cluster.Take(
-      "a", cluster["a"].Receive(cluster.now, "b", VoteFor("b", 9)));
-  REQUIRE(Grants(output));
+  const Output output = cluster.HandleOutput(
+      "a", cluster["a"].Receive(cluster.now, "b", VoteRequestFor("b", 9)));
+  REQUIRE(GrantsVote(output));
   CHECK(std::get<HardState>(output.writes.front()) == HardState{9, "b", false});
   cluster.Start("a");
   cluster["a"].Tick(cluster.now);
   cluster.now += 401ms;
-  CHECK_FALSE(Grants(cluster["a"].Receive(cluster.now, "c", VoteFor("c", 9))));
-  CHECK(Grants(cluster["a"].Receive(cluster.now, "b", VoteFor("b", 9))));
+  CHECK_FALSE(GrantsVote(
+      cluster["a"].Receive(cluster.now, "c", VoteRequestFor("c", 9))));
+  CHECK(GrantsVote(
+      cluster["a"].Receive(cluster.now, "b", VoteRequestFor("b", 9))));
 }
 
-// Guards against a leader elected while another one still holds its lease.
+// Guards against electing a leader while another one still holds its lease.
 TEST_CASE(
-    "No vote is given within the minimum timeout of a leader's message "
-    "or a restart",
+    "No vote is granted within the minimum election timeout of a leader's "
+    "message or a restart",
     "[consensus]") {
-  Cluster cluster(kThree);
+  Cluster cluster(kThreeMembers);
   cluster.Run(2s);
   const std::string name = Followers(cluster).front();
   const std::int64_t term = cluster[name].Term();
   const auto grants = [&] {
-    return Grants(cluster[name].Receive(cluster.now, "z", VoteFor("z", 99)));
+    return GrantsVote(
+        cluster[name].Receive(cluster.now, "z", VoteRequestFor("z", 99)));
   };
   cluster.Run(100ms);
-  cluster.now += 280ms;  // at most 10 ms after a heartbeat of 100 ms
+  // The last heartbeat is at most 100 ms + 10 ms (one step) old before this.
+  cluster.now += 280ms;
   CHECK_FALSE(grants());
   CHECK(cluster[name].Term() == term);
   cluster.Start(name);
@@ -78,31 +86,33 @@
   CHECK(grants());
 }
 
-// Guards against an outage of half a second more after a power loss, when no
-// leader can hold a lease.
-TEST_CASE("After a restart of all members one leads before the minimum timeout",
-          "[consensus]") {
+// Guards against half a second of additional outage after a power loss: no
+// leader can hold a lease then, so the wait after a restart is unnecessary.
+TEST_CASE(
+    "After a restart of all members a leader is elected before the minimum "
+    "election timeout",
+    "[consensus]") {
   for (unsigned seed = 0; seed < 50; ++seed) {
-    Cluster cluster(kThree);
+    Cluster cluster(kThreeMembers);
     cluster.Run(2s);
     cluster.seed = seed * 100;
     cluster.queue.clear();
-    for (const std::string& name : kThree)
+    for (const std::string& name : kThreeMembers)
       cluster.Start(name);
     cluster.Run(300ms);
     CHECK_FALSE(cluster.Leader().empty());
   }
 }
 
-// Guards against a lease broken by two members that restart while the leader
-// is only slow to answer.
-TEST_CASE("Restarted members wait while one member has not answered",
+// Guards against two restarted members that elect a leader while the previous
+// one is unreachable but still holds its lease.
+TEST_CASE("Restarted members wait while one member has not responded",
           "[consensus]") {
-  Cluster cluster(kThree);
+  Cluster cluster(kThreeMembers);
   cluster.Run(2s);
   const std::string leader = cluster.Leader();
   const std::int64_t term = cluster[leader].Term();
-  cluster.cut.insert(leader);
+  cluster.isolated.insert(leader);
   for (const std::string& name : Followers(cluster))
     cluster.Start(name);
   cluster.Run(390ms);
@@ -112,23 +122,24 @@
   CHECK_FALSE(cluster.Leader().empty());
 }
 
-// Guards against a leader that steps down over a removal in the log which a
-// later entry has undone, as it does when a restart commits the log anew.
-TEST_CASE("A member that was added again leads after a restart of all",
-          "[consensus]") {
+// Guards against a leader that steps down because of its own removal although a
+// later entry has added it again. A restart commits the removal a second time.
+TEST_CASE(
+    "A removed and re-added member can lead after a restart of all members",
+    "[consensus]") {
   for (unsigned seed = 0; seed < 20; ++seed) {
-    Cluster cluster(kThree);
+    Cluster cluster(kThreeMembers);
     cluster.Run(2s);
-    const std::string again = Followers(cluster).front();
-    std::vector<std::string> others = kThree;
-    std::erase(others, again);
+    const std::string readded = Followers(cluster).front();
+    std::vector<std::string> others = kThreeMembers;
+    std::erase(others, readded);
     REQUIRE(cluster.SetMembers(others) == ResultCode::kOk);
     cluster.Run(1s);
-    REQUIRE(cluster.SetMembers(kThree) == ResultCode::kOk);
+    REQUIRE(cluster.SetMembers(kThreeMembers) == ResultCode::kOk);
     cluster.Run(2s);
     cluster.seed = seed * 100;
     cluster.queue.clear();
-    for (const std::string& name : kThree)
+    for (const std::string& name : kThreeMembers)
       cluster.Start(name);
     cluster.Run(250ms);
     const std::string leader = cluster.Leader();
@@ -140,8 +151,9 @@
   }
 }
 
-TEST_CASE("A leader that removes itself hands over", "[consensus]") {
-  Cluster cluster(kThree);
+TEST_CASE("A leader that removes itself is replaced by another member",
+          "[consensus]") {
+  Cluster cluster(kThreeMembers);
   cluster.Run(2s);
   const std::string removed = cluster.Leader();
   CHECK(cluster.SetMembers(Followers(cluster)) == ResultCode::kOk);
@@ -150,21 +162,24 @@
   CHECK_FALSE(cluster.Leader().empty());
 }
 
-TEST_CASE("A leadership transfer makes another member leader at once",
-          "[consensus]") {
-  Cluster cluster(kThree);
+TEST_CASE(
+    "A leadership transfer elects another member without an election timeout",
+    "[consensus]") {
+  Cluster cluster(kThreeMembers);
   cluster.Run(2s);
   const std::string old_leader = cluster.Leader();
-  cluster.Take(old_leader, cluster[old_leader].TransferLeadership(cluster.now));
+  cluster.HandleOutput(old_leader,
+                       cluster[old_leader].TransferLeadership(cluster.now));
   CHECK(cluster.Propose(old_leader, "x") == ResultCode::kNotLeader);
   CHECK_FALSE(cluster[old_leader].HoldsLeaderLease(cluster.now));
-  SECTION("the target stands at once") {
-    cluster.Settle();
+  SECTION("the target starts an election immediately") {
+    cluster.DeliverAll();
     CHECK(cluster.Leader() != old_leader);
     CHECK_FALSE(cluster.Leader().empty());
   }
-  // A late order could elect the target during a new lease of the same term.
-  SECTION("a leader whose order is lost steps down") {
+  // A delayed TimeoutNow could make the target leader while the old leader
+  // holds a renewed lease of the same term.
+  SECTION("the old leader steps down if its TimeoutNow is lost") {
     cluster.queue.clear();
     cluster.Advance(401ms);
     CHECK_FALSE(cluster[old_leader].IsLeader());
--- a/consensus/tests/helpers.h
+++ b/consensus/tests/helpers.h
@@ -9,17 +9,18 @@
 
 namespace goldcrest::consensus {
 
-inline const std::vector<std::string> kThree = {"a", "b", "c"};
+inline const std::vector<std::string> kThreeMembers = {"a", "b", "c"};
 
-// The followers of the current leader, in order of name.
+// Members other than the current leader, sorted by name.
 inline std::vector<std::string> Followers(Cluster& cluster) {
-  std::vector<std::string> followers = kThree;
+  std::vector<std::string> followers = kThreeMembers;
   std::erase(followers, cluster.Leader());
   return followers;
 }
 
-inline messages::ConsensusMessage VoteFor(const std::string& candidate,
-                                          std::int64_t term) {
+// A vote request whose log is ahead of any log in the tests.
+inline messages::ConsensusMessage VoteRequestFor(const std::string& candidate,
+                                                 std::int64_t term) {
   messages::VoteRequest request;
   request.term = term;
   request.candidate = candidate;
@@ -30,7 +31,7 @@
   return message;
 }
 
-inline bool Grants(const Output& output) {
+inline bool GrantsVote(const Output& output) {
   return !output.messages.empty() &&
          output.messages.front().message.vote_response.granted;
 }
--- a/consensus/tests/property_test.cc
+++ b/consensus/tests/property_test.cc
@@ -13,32 +13,36 @@
 
 const std::vector<std::string> kMembers = {"a", "b", "c"};
 
-// At most one leader a term, and no leader beside a newer one holds a lease.
-void CheckLeaders(Cluster& cluster, std::map<std::int64_t, std::string>& seen) {
+// Checks that each term has at most one leader and that only the leader of the
+// newest term holds a lease.
+void CheckLeaders(Cluster& cluster,
+                  std::map<std::int64_t, std::string>& leader_by_term) {
   for (auto& [name, node] : cluster.nodes) {
     if (!node.replica->IsLeader())
       continue;
     const std::int64_t term = node.replica->Term();
-    RC_ASSERT(seen.try_emplace(term, name).first->second == name);
+    RC_ASSERT(leader_by_term.try_emplace(term, name).first->second == name);
     if (node.replica->HoldsLeaderLease(cluster.now))
-      RC_ASSERT(seen.rbegin()->first == term);
+      RC_ASSERT(leader_by_term.rbegin()->first == term);
   }
 }
 
-void Act(Cluster& cluster, unsigned action, unsigned detail) {
+// Applies one random step: a delivery, fault, restart, proposal or membership
+// change.
+void ApplyAction(Cluster& cluster, unsigned action, unsigned detail) {
   const std::string& name = kMembers[detail % kMembers.size()];
   Replica& replica = cluster[name];
-  if (action < 50) {  // deliver in any order
+  if (action < 50) {  // deliver a message out of order
     if (cluster.queue.empty())
       return;
     const std::size_t at = detail % cluster.queue.size();
     const Cluster::Envelope envelope = cluster.queue[at];
-    if (action > 4)  // else it stays in the queue and arrives twice
+    if (action > 4)  // otherwise it stays queued and may arrive again
       cluster.queue.erase(cluster.queue.begin() + static_cast<int>(at));
-    if (action > 8)  // else it is lost
+    if (action > 8)  // otherwise it is lost
       cluster.Deliver(envelope);
   } else if (action < 70) {
-    cluster.Settle();
+    cluster.DeliverAll();
   } else if (action < 84) {
     cluster.Advance(std::chrono::milliseconds(detail % 250));
   } else if (action < 90) {
@@ -49,27 +53,28 @@
     for (const std::string& member : kMembers)
       cluster.Start(member);
   } else if (action < 93) {
-    cluster.Wipe("c");
+    cluster.RestartWithEmptyDisk("c");
   } else if (action < 95) {
-    cluster.Take(name, replica.Compact(replica.CommitIndex(), "s"));
+    cluster.HandleOutput(name, replica.Compact(replica.CommitIndex(), "s"));
   } else if (action < 96) {
-    cluster.Take(name, replica.TransferLeadership(cluster.now));
+    cluster.HandleOutput(name, replica.TransferLeadership(cluster.now));
   } else {
     auto members = kMembers;
     if (detail % 2 == 0)
       members.pop_back();
     Proposal proposal = replica.ProposeMembers(cluster.now, members);
-    cluster.Take(name, std::move(proposal.output));
+    cluster.HandleOutput(name, std::move(proposal.output));
   }
 }
 
 }  // namespace
 
-// Guards against schedules of loss, reordering, duplication, restarts, a lost
-// disk and membership changes that the single-step tests do not think of.
+// Guards against violations that need a combination of message loss,
+// reordering, duplication, restarts, a lost disk and membership changes, which
+// the tests of single scenarios do not cover.
 TEST_CASE(
-    "No schedule of faults decides an index twice, elects two leaders in "
-    "a term, or overlaps leases",
+    "No schedule of faults commits two entries at one index, elects two "
+    "leaders in a term, or lets leases overlap",
     "[consensus][guarantee]") {
   ::setenv("RC_PARAMS", "seed=20260412 max_success=300 max_size=1500", 1);
   const bool held = rc::check([] {
@@ -78,7 +83,7 @@
     Cluster cluster(kMembers);
     std::map<std::int64_t, std::string> leaders;
     for (const unsigned action : actions) {
-      Act(cluster, action % 100, action / 100);
+      ApplyAction(cluster, action % 100, action / 100);
       CheckLeaders(cluster, leaders);
     }
     cluster.Run(6s);
--- a/consensus/tests/replica_test.cc
+++ b/consensus/tests/replica_test.cc
@@ -35,17 +35,17 @@
 
 }  // namespace
 
-// Guards against a leader that goes on deciding and serving while another one
-// has taken over.
+// Guards against a leader that keeps committing and serving after another one
+// has been elected.
 TEST_CASE(
     "An isolated leader loses its lease before it can be replaced, and "
     "steps down",
     "[consensus][guarantee]") {
-  Cluster cluster(kThree);
+  Cluster cluster(kThreeMembers);
   cluster.Run(2s);
   const std::string old_leader = cluster.Leader();
   REQUIRE(cluster[old_leader].HoldsLeaderLease(cluster.now));
-  cluster.cut = {old_leader};
+  cluster.isolated = {old_leader};
   while (cluster.Leader().empty()) {
     REQUIRE(cluster.now < TimeFromMicros(6'000'000));
     cluster.Run(10ms);
@@ -55,109 +55,110 @@
   CHECK_FALSE(cluster[old_leader].IsLeader());
 }
 
-// Guards against the loss of a decided change when its leader fails.
+// Guards against the loss of a committed entry when its leader fails.
 TEST_CASE("A committed entry survives any change of leader",
           "[consensus][guarantee]") {
   const bool restart = GENERATE(false, true);
   const std::size_t missing = GENERATE(0U, 1U);
-  Cluster cluster(kThree);
+  Cluster cluster(kThreeMembers);
   cluster.Run(2s);
   const std::string first = cluster.Leader();
   const std::string behind = Followers(cluster)[missing];
-  cluster.cut = {behind};
+  cluster.isolated = {behind};
   cluster.Propose(first, "kept");
   cluster.Run(200ms);
   REQUIRE(cluster.Committed(first, "kept"));
-  // An entry that only the failing leader holds must go.
-  cluster.cut = {first};
+  // An entry that only the failing leader holds is never committed.
+  cluster.isolated = {first};
   cluster.Propose(first, "lost");
   cluster.Run(3s);
   REQUIRE_FALSE(cluster.Leader().empty());
   CHECK(cluster.Leader() != behind);
   if (restart) {
-    for (const std::string& name : kThree)
+    for (const std::string& name : kThreeMembers)
       cluster.Start(name);
   }
-  cluster.cut.clear();
+  cluster.isolated.clear();
   cluster.Run(3s);
   cluster.Propose(cluster.Leader(), "next");
   cluster.Run(300ms);
-  for (const std::string& name : kThree) {
+  for (const std::string& name : kThreeMembers) {
     CHECK(cluster.Committed(name, "kept"));
     CHECK(cluster.Committed(name, "next"));
     CHECK_FALSE(cluster.Committed(name, "lost"));
   }
 }
 
-// Guards against a second vote in a term, or a lost entry, by a member that
-// comes back without memory under a name that is still in the members.
+// Guards against a member that restarts without its disk under a name that is
+// still a member: it could vote twice in a term, or help to elect a leader that
+// lacks a committed entry.
 TEST_CASE(
     "A member that lost its disk votes only after it was removed and "
     "admitted again",
     "[consensus][guarantee]") {
-  Cluster cluster(kThree);
+  Cluster cluster(kThreeMembers);
   cluster.Run(2s);
   const std::string leader = cluster.Leader();
   const std::string wiped = Followers(cluster)[0];
   const std::string other = Followers(cluster)[1];
   cluster.Propose(leader, "x");
-  cluster.Wipe(wiped);
+  cluster.RestartWithEmptyDisk(wiped);
   cluster.Run(2s);
   CHECK(cluster.Committed(wiped, "x"));
   CHECK(cluster[wiped].IsJoining());
-  SECTION("it elects nobody") {
-    cluster.cut = {leader};
+  SECTION("it votes for no candidate") {
+    cluster.isolated = {leader};
     cluster.Run(5s);
     CHECK(cluster.Leader().empty());
-    CHECK_FALSE(
-        Grants(cluster[wiped].Receive(cluster.now, other, VoteFor(other, 99))));
+    CHECK_FALSE(GrantsVote(
+        cluster[wiped].Receive(cluster.now, other, VoteRequestFor(other, 99))));
   }
   SECTION("it stays out of elections after a restart") {
     cluster.Start(wiped);
     cluster.Run(1s);
     CHECK(cluster[wiped].IsJoining());
   }
-  SECTION("it takes part once it was admitted") {
-    std::vector<std::string> rest = kThree;
+  SECTION("it votes after it was admitted") {
+    std::vector<std::string> rest = kThreeMembers;
     std::erase(rest, wiped);
     CHECK(cluster.SetMembers(rest) == ResultCode::kOk);
     cluster.Run(200ms);
     CHECK(cluster[wiped].IsJoining());
-    CHECK(cluster.SetMembers(kThree) == ResultCode::kOk);
+    CHECK(cluster.SetMembers(kThreeMembers) == ResultCode::kOk);
     cluster.Run(500ms);
     CHECK_FALSE(cluster[wiped].IsJoining());
-    cluster.cut = {leader};
+    cluster.isolated = {leader};
     cluster.Run(3s);
     CHECK_FALSE(cluster.Leader().empty());
   }
 }
 
-// Guards against an admission in the replayed log, from before the disk was
-// lost, that is taken for a new one.
+// Guards against treating the member's earlier admission, which it receives
+// again with the log after it lost its disk, as a new one.
 TEST_CASE("An admission logged before the disk was lost does not count",
           "[consensus]") {
   Cluster cluster({"a", "b"});
   cluster.Run(2s);
   cluster.Start("c");
-  CHECK(cluster.SetMembers(kThree) == ResultCode::kOk);
+  CHECK(cluster.SetMembers(kThreeMembers) == ResultCode::kOk);
   cluster.Run(500ms);
   REQUIRE_FALSE(cluster["c"].IsJoining());
-  cluster.Wipe("c");
+  cluster.RestartWithEmptyDisk("c");
   cluster.Run(3s);
   CHECK(cluster["c"].CommitIndex() == cluster[cluster.Leader()].CommitIndex());
   CHECK(cluster["c"].IsJoining());
 }
 
-// Guards against the loss of the majority by two replacements at a time.
+// Guards against losing the majority to two replacements at the same time.
 TEST_CASE("A second replacement is refused until the first has caught up",
           "[consensus]") {
-  Cluster cluster(kThree);
+  Cluster cluster(kThreeMembers);
   cluster.Run(2s);
   const std::vector<std::string> four = {"a", "b", "c", "d"};
   const std::vector<std::string> other = {"a", "b", "c", "e"};
   CHECK(cluster.SetMembers(four) == ResultCode::kOk);
   cluster.Run(1s);
-  CHECK(cluster[cluster.Leader()].Members() == kThree);
+  CHECK(cluster[cluster.Leader()].Members() == kThreeMembers);
   CHECK(cluster.SetMembers(other) == ResultCode::kMemberNotCaughtUp);
   CHECK(cluster.SetMembers({"a", "b"}) == ResultCode::kMemberNotCaughtUp);
   CHECK(cluster.SetMembers({"a", "d"}) == ResultCode::kInvalidField);
@@ -165,29 +166,27 @@
   cluster.Run(1s);
   CHECK(cluster[cluster.Leader()].Members() == four);
   CHECK_FALSE(cluster["d"].IsJoining());
-  SECTION("a change is accepted once it has caught up") {
+  SECTION("a change is accepted once the added member has caught up") {
     CHECK(cluster.SetMembers({"a", "b", "c", "d", "e"}) == ResultCode::kOk);
   }
   SECTION(
-      "a member that falls silent after its admission blocks changes, but "
-      "not its own removal") {
-    cluster.cut = {"d"};
+      "an added member that becomes unreachable blocks changes other than "
+      "its own removal") {
+    cluster.isolated = {"d"};
     cluster.Run(1s);
     CHECK(cluster.SetMembers({"a", "b", "c", "d", "e"}) ==
           ResultCode::kMemberNotCaughtUp);
-    CHECK(cluster.SetMembers(kThree) == ResultCode::kOk);
+    CHECK(cluster.SetMembers(kThreeMembers) == ResultCode::kOk);
   }
 }
 
-// Guards against another member's admission that is taken for its own.
-TEST_CASE(
-    "A change of other members does not let a member without its disk "
-    "vote",
-    "[consensus]") {
-  Cluster cluster(kThree);
+// Guards against a member that mistakes another member's admission for its own.
+TEST_CASE("Adding another member does not let a member that lost its disk vote",
+          "[consensus]") {
+  Cluster cluster(kThreeMembers);
   cluster.Run(2s);
   const std::string wiped = Followers(cluster)[0];
-  cluster.Wipe(wiped);
+  cluster.RestartWithEmptyDisk(wiped);
   cluster.Run(500ms);
   cluster.Start("d");
   CHECK(cluster.SetMembers({"a", "b", "c", "d"}) == ResultCode::kOk);
@@ -197,15 +196,16 @@
   CHECK(cluster[wiped].IsJoining());
 }
 
-// Guards against counting copies of an earlier leader's entry, which a third
-// leader may still replace.
-TEST_CASE("An entry of an earlier term is not committed by its copies alone",
-          "[consensus]") {
+// Guards against committing an earlier leader's entry by counting its replicas:
+// a later leader may still overwrite it.
+TEST_CASE(
+    "An entry of an earlier term is not committed by counting its replicas",
+    "[consensus]") {
   RestoredState state;
   state.fresh = false;
   state.hard_state.term = 2;
   state.entries = {Entry(1, 1), Entry(2, 2)};
-  state.entries[0].__set_members(kThree);
+  state.entries[0].__set_members(kThreeMembers);
   ReplicaOptions options;
   options.self = "a";
   Replica replica(options, state, std::mt19937_64(1));
@@ -236,54 +236,55 @@
   CHECK(replica.HoldsLeaderLease(now));
 }
 
-// Guards against entries of a replaced leader that outlive a snapshot.
-TEST_CASE("A snapshot drops entries that its history does not have",
+// Guards against entries of a replaced leader that remain after a snapshot.
+TEST_CASE("Installing a snapshot removes log entries that conflict with it",
           "[consensus]") {
-  Cluster cluster(kThree);
-  cluster.Take(
+  Cluster cluster(kThreeMembers);
+  cluster.HandleOutput(
       "a", cluster["a"].Receive(cluster.now, "b",
                                 Append(5, 1, 1, {Entry(5, 2), Entry(5, 3)})));
   messages::ConsensusMessage message;
   message.snapshot_chunk.term = 7;
   message.snapshot_chunk.last_index = 2;
   message.snapshot_chunk.last_term = 6;
-  message.snapshot_chunk.members = kThree;
+  message.snapshot_chunk.members = kThreeMembers;
   message.snapshot_chunk.done = true;
   message.__isset.snapshot_chunk = true;
   CHECK(cluster["a"].Receive(cluster.now, "c", message).installed);
   CHECK(cluster["a"].LastIndex() == 2);
 }
 
-TEST_CASE("An addition without progress is given up", "[consensus]") {
-  Cluster cluster(kThree);
+TEST_CASE("A member addition without progress is abandoned", "[consensus]") {
+  Cluster cluster(kThreeMembers);
   cluster.Run(2s);
   CHECK(cluster.SetMembers({"a", "b", "c", "d"}) == ResultCode::kOk);
   cluster.Run(11s);
   CHECK(cluster.SetMembers({"a", "b", "c", "e"}) == ResultCode::kOk);
 }
 
-// Guards against a removal after which the cluster can't commit.
+// Guards against a removal after which the cluster cannot commit.
 TEST_CASE(
-    "A removal is refused when the rest would lack a majority that has "
-    "caught up",
+    "A removal is refused if the remaining members would lack a majority "
+    "that has caught up",
     "[consensus]") {
-  Cluster cluster(kThree);
+  Cluster cluster(kThreeMembers);
   cluster.Run(2s);
   const std::string silent = Followers(cluster)[0];
-  cluster.cut = {silent};
+  cluster.isolated = {silent};
   cluster.Run(1s);
   CHECK(cluster.SetMembers({cluster.Leader(), silent}) ==
         ResultCode::kMemberNotCaughtUp);
 }
 
-// Guards against old messages that undo newer ones.
-TEST_CASE("Repeated, reordered and malformed appends leave the log as it is",
+// Guards against delayed messages that undo the effect of newer ones.
+TEST_CASE("Duplicate, outdated and malformed appends do not change the log",
           "[consensus]") {
-  Cluster cluster(kThree);
+  Cluster cluster(kThreeMembers);
   cluster.Advance(0s);
   Replica& replica = cluster["a"];
   const auto receive = [&](const messages::ConsensusMessage& message) {
-    return cluster.Take("a", replica.Receive(cluster.now, "b", message));
+    return cluster.HandleOutput("a",
+                                replica.Receive(cluster.now, "b", message));
   };
   const auto answer = [](const Output& output) {
     return output.messages.front().message.append_response;
@@ -304,15 +305,15 @@
   CHECK(stale.term == 5);
   CHECK_FALSE(stale.success);
   CHECK(replica.LastIndex() == 4);
-  // A conflict is cut off before the new entry is written.
+  // Conflicting entries are truncated before the new entry is written.
   const Output output = receive(Append(6, 2, 5, {Entry(6, 3)}));
   REQUIRE(output.writes.size() == 3);
   CHECK(std::get<TruncateLog>(output.writes[1]).index == 3);
   CHECK(replica.LastIndex() == 3);
 }
 
-TEST_CASE("A rejected append backs off a whole term at a time", "[consensus]") {
-  Cluster cluster(kThree);
+TEST_CASE("A rejected append skips a whole conflicting term", "[consensus]") {
+  Cluster cluster(kThreeMembers);
   cluster.Advance(0s);
   std::vector<messages::LogEntry> entries;
   for (std::int64_t index = 2; index <= 500; ++index)
@@ -323,27 +324,27 @@
   CHECK(output.messages.front().message.append_response.last_index == 1);
 }
 
-// Guards against messages that grow with the backlog of a member.
-TEST_CASE("An append is bounded in entries and bytes", "[consensus]") {
-  Cluster cluster(kThree);
+// Guards against messages that grow with the number of entries a member lacks.
+TEST_CASE("An append is limited in entries and bytes", "[consensus]") {
+  Cluster cluster(kThreeMembers);
   cluster.options.max_append_entries = 8;
   cluster.options.max_append_bytes = 1000;
-  for (const std::string& name : kThree)
-    cluster.Start(name, kThree);
+  for (const std::string& name : kThreeMembers)
+    cluster.Start(name, kThreeMembers);
   cluster.Run(2s);
   const std::string leader = cluster.Leader();
-  cluster.cut = {Followers(cluster)[0]};
+  cluster.isolated = {Followers(cluster)[0]};
   for (int count = 0; count < 40; ++count)
     cluster.Propose(leader, std::string(count < 20 ? 1 : 300, 'x'));
   cluster.Run(200ms);
-  cluster.cut.clear();
+  cluster.isolated.clear();
   while (cluster[Followers(cluster)[0]].LastIndex() <
          cluster[leader].LastIndex()) {
     REQUIRE(cluster.now < TimeFromMicros(9'000'000));
     cluster.Advance(10ms);
     for (; !cluster.queue.empty(); cluster.queue.pop_front()) {
       const Cluster::Envelope envelope = cluster.queue.front();
-      const auto& request = envelope.out.message.append_request;
+      const auto& request = envelope.outbound.message.append_request;
       CHECK(request.entries.size() <= 8);
       std::size_t bytes = 0;
       for (const messages::LogEntry& entry : request.entries)
@@ -358,17 +359,18 @@
         ResultCode::kBodyTooLarge);
 }
 
-// Guards against a snapshot that is assembled from chunks in a wrong order.
-TEST_CASE("A member far behind gets the snapshot in chunks", "[consensus]") {
+// Guards against assembling a snapshot from duplicate or reordered chunks.
+TEST_CASE("A member that lags behind the snapshot receives it in chunks",
+          "[consensus]") {
   const bool duplicate = GENERATE(false, true);
-  Cluster cluster(kThree);
+  Cluster cluster(kThreeMembers);
   cluster.options.snapshot_chunk_bytes = 100;
-  for (const std::string& name : kThree)
-    cluster.Start(name, kThree);
+  for (const std::string& name : kThreeMembers)
+    cluster.Start(name, kThreeMembers);
   cluster.Run(2s);
   const std::string leader = cluster.Leader();
   const std::string behind = Followers(cluster)[0];
-  cluster.cut = {behind};
+  cluster.isolated = {behind};
   for (int count = 0; count < 20; ++count)
     cluster.Propose(leader, std::to_string(count));
   cluster.Run(200ms);
@@ -376,20 +378,20 @@
   for (int count = 0; count < 1000; ++count)
     data += std::to_string(count);
   const std::int64_t index = cluster[leader].CommitIndex();
-  cluster.Take(leader, cluster[leader].Compact(index, data));
+  cluster.HandleOutput(leader, cluster[leader].Compact(index, data));
   CHECK(cluster[leader].SnapshotIndex() == index);
   cluster.Propose(leader, "after");
-  cluster.cut.clear();
+  cluster.isolated.clear();
   for (int step = 0; step < 30; ++step) {
     cluster.Advance(20ms);
     if (duplicate) {
       const std::deque<Cluster::Envelope> copy = cluster.queue;
       cluster.queue.insert(cluster.queue.end(), copy.rbegin(), copy.rend());
     }
-    cluster.Settle();
+    cluster.DeliverAll();
   }
   CHECK(cluster.nodes[behind].disk.snapshot.data == data);
-  CHECK(cluster.nodes[behind].disk.snapshot.members == kThree);
+  CHECK(cluster.nodes[behind].disk.snapshot.members == kThreeMembers);
   CHECK(cluster.Committed(behind, "after"));
   cluster.Start(behind);
   CHECK(cluster[behind].CommitIndex() == index);
