--- a/consensus/include/goldcrest/consensus/replica_options.h
+++ b/consensus/include/goldcrest/consensus/replica_options.h
@@ -26,7 +26,7 @@
   //! timeout has passed, once every member has reported that it neither leads
   //! nor follows a leader. Members of versions without this option never report
   //! it.
-  bool elect_early = false;
+  bool elect_early_after_restart = false;
   //! The addition of a new member is abandoned after this time without
   //! progress.
   Duration join_timeout = std::chrono::seconds(10);
--- a/consensus/src/election.cc
+++ b/consensus/src/election.cc
@@ -29,7 +29,7 @@
   leader_.clear();
   willing_voters_ = {options_.self};
   leaderless_members_ = {options_.self};
-  if (options_.elect_early)
+  if (options_.elect_early_after_restart)
     pre_vote_attempt_ =
         std::uniform_int_distribution<std::int64_t>()(generator_);
   RequestVotes(true, false);
@@ -56,8 +56,8 @@
 }
 
 bool ReplicaCore::MayElectEarly() const {
-  return options_.elect_early && IsElectable() && IsInRestartWait() &&
-         leader_.empty() &&
+  return options_.elect_early_after_restart && IsElectable() &&
+         IsInRestartWait() && leader_.empty() &&
          (role_ == Role::kFollower || role_ == Role::kPreCandidate) &&
          FollowedNoTermAbove(log_.LastTerm());
 }
@@ -104,8 +104,8 @@
       std::ranges::all_of(log_.Members(), [this](const std::string& name) {
         return leaderless_members_.contains(name);
       });
-  if (options_.elect_early && all_leaderless && IsMajority(willing_voters_) &&
-      FollowedNoTermAbove(log_.LastTerm()))
+  if (options_.elect_early_after_restart && all_leaderless &&
+      IsMajority(willing_voters_) && FollowedNoTermAbove(log_.LastTerm()))
     StartElection(true);
 }
 
--- a/consensus/src/replica_core.cc
+++ b/consensus/src/replica_core.cc
@@ -160,7 +160,7 @@
   // leader's lease relies on the acknowledgment.
   restart_wait_until_ = now_ + options_.election_timeout_min;
   ResetElectionTimer();
-  if (options_.elect_early)
+  if (options_.elect_early_after_restart)
     ScheduleEarlyPreVote();
 }
 
--- a/consensus/tests/cluster.h
+++ b/consensus/tests/cluster.h
@@ -40,7 +40,7 @@
   //! Starts or restarts a member with the state on its disk.
   void Start(const std::string& name, std::vector<std::string> bootstrap = {}) {
     options.self = name;
-    options.elect_early = true;
+    options.elect_early_after_restart = true;
     options.bootstrap_members = std::move(bootstrap);
     Node& node = nodes[name];
     node.replica.emplace(options, node.disk, std::mt19937_64(++seed));
--- a/programs/goldcrestd/controller_service.cc
+++ b/programs/goldcrestd/controller_service.cc
@@ -74,7 +74,7 @@
   options.replica.heartbeat_interval = kHeartbeat;
   options.replica.election_timeout_min = kElectionMin;
   options.replica.election_timeout_max = kElectionMax;
-  options.replica.elect_early = true;
+  options.replica.elect_early_after_restart = true;
   options.has_disk = store_ != nullptr;
   options.tolerated_losses = settings_.tolerated_losses;
   options.limit_window = LimitWindowOf(settings_);
