--- a/control/include/goldcrest/control/control_state.h
+++ b/control/include/goldcrest/control/control_state.h
@@ -14,15 +14,15 @@
 
 namespace goldcrest::control {
 
-//! Answer to a logged command.
+//! Result of applying a logged command.
 struct ApplyResult {
   ResultCode code = ResultCode::kOk;
-  std::int64_t revision = 0;  //!< Of the configuration, for a change.
+  std::int64_t revision = 0;  //!< Configuration revision after a change.
   std::string message;
 };
 
-//! The replicated state machine of control. It depends on nothing but the
-//! commands applied, so that all members reach the same state.
+//! Replicated state machine of the control members. Its state depends only on
+//! the applied commands, so all members reach the same state.
 class ControlState {
  public:
   ApplyResult Apply(const messages::Command& command);
@@ -34,8 +34,9 @@
   const std::map<std::string, messages::GroupState>& groups() const {
     return groups_;
   }
-  //! Names of the groups that an instance coordinates.
-  const std::set<std::string>& GroupsOf(const std::string& instance) const;
+  //! Names of the groups whose coordinator is `instance`.
+  const std::set<std::string>& GroupsCoordinatedBy(
+      const std::string& instance) const;
   const std::map<std::string, messages::EndpointInfo>& endpoints() const {
     return endpoints_;
   }
@@ -43,9 +44,9 @@
     return instances_;
   }
   const std::deque<messages::JournalEntry>& journal() const { return journal_; }
-  //! Key of session tokens; empty until a leader has logged one.
+  //! Key that signs session tokens; empty until a leader has logged one.
   const std::string& session_secret() const { return session_secret_; }
-  //! Rises with every change of groups, endpoints or instances.
+  //! Increases with every change of groups, endpoints or instances.
   std::int64_t groups_revision() const { return groups_revision_; }
 
  private:
@@ -64,7 +65,8 @@
   std::string session_secret_;
   std::int64_t groups_revision_ = 0;
   std::map<std::string, messages::GroupState> groups_;
-  // Lets the leader answer a report without a walk over all groups.
+  // Index for GroupsCoordinatedBy(), so that the leader need not iterate over
+  // all groups for each report.
   std::map<std::string, std::set<std::string>> groups_by_coordinator_;
   std::map<std::string, messages::EndpointInfo> endpoints_;
   std::map<std::string, messages::InstanceInfo> instances_;
--- a/control/include/goldcrest/control/limit_refresher.h
+++ b/control/include/goldcrest/control/limit_refresher.h
@@ -12,19 +12,21 @@
 
 namespace goldcrest::control {
 
-//! Carries the customers' limits from the configuration to the buckets, once
-//! per revision.
+//! Passes the customers' rate limits from the configuration to their token
+//! buckets, once per configuration revision.
 class LimitRefresher {
  public:
-  //! Calls `set` for each customer with a limit, and with nullopt for each that
-  //! had one before. Does nothing while the revision is the same.
-  void Refresh(const policy::Configuration& configuration,
-               const std::function<void(const std::string& customer,
-                                        std::optional<quota::Limit>)>& set);
+  //! Calls `set_limit` for each customer with a limit, and with nullopt for
+  //! each customer whose limit was removed. Does nothing if the revision is
+  //! unchanged.
+  void Refresh(
+      const policy::Configuration& configuration,
+      const std::function<void(const std::string& customer,
+                               std::optional<quota::Limit>)>& set_limit);
 
  private:
   std::int64_t revision_ = -1;
-  std::set<std::string> limited_;
+  std::set<std::string> limited_customers_;
 };
 
 }  // namespace goldcrest::control
--- a/control/internal/pending_key.h
+++ b/control/internal/pending_key.h
@@ -5,13 +5,13 @@
 
 namespace goldcrest::control {
 
-//! Keys of proposals in flight start with what they are about; the name of the
-//! group, instance or endpoint follows.
-inline constexpr std::string_view kCoordinatorKey = "coordinator ";
-inline constexpr std::string_view kRemoveKey = "remove ";
-inline constexpr std::string_view kInstanceKey = "instance ";
-inline constexpr std::string_view kEndpointKey = "endpoint ";
-inline constexpr std::string_view kNoteKey = "note ";
+//! The key of a pending proposal is one of these prefixes, which states the
+//! kind of proposal, followed by the name of the group, instance or endpoint.
+inline constexpr std::string_view kCoordinatorKeyPrefix = "coordinator ";
+inline constexpr std::string_view kRemoveKeyPrefix = "remove ";
+inline constexpr std::string_view kInstanceKeyPrefix = "instance ";
+inline constexpr std::string_view kEndpointKeyPrefix = "endpoint ";
+inline constexpr std::string_view kNoteKeyPrefix = "note ";
 
 }  // namespace goldcrest::control
 
--- a/control/src/control_state.cc
+++ b/control/src/control_state.cc
@@ -7,11 +7,11 @@
 
 constexpr std::size_t kMaxJournalEntries = 2'000;
 
-// Term starts kept per group. A session mark older than the oldest kept one is
-// limited by the oldest, which lies at a higher position and is thus safe.
-constexpr std::size_t kMaxTermStarts = 64;
+// A session mark from before the oldest kept term start is limited to the
+// position of that term start, which is higher and therefore safe.
+constexpr std::size_t kMaxTermStartsPerGroup = 64;
 
-ApplyResult Refused(ResultCode code, std::string message) {
+ApplyResult RefusedResult(ResultCode code, std::string message) {
   return {code, 0, std::move(message)};
 }
 
@@ -82,7 +82,7 @@
   if (it != instances_.end() && it->second == info)
     return {};
   if (it != instances_.end() && it->second.incarnation > info.incarnation)
-    return Refused(ResultCode::kInvalidField, "older incarnation");
+    return RefusedResult(ResultCode::kInvalidField, "older incarnation");
   instances_[info.instance] = info;
   ++groups_revision_;
   return {};
@@ -94,10 +94,11 @@
     if (it->second == info)
       return {};
     if (it->second.incarnation > info.incarnation)
-      return Refused(ResultCode::kAnnouncementRejected, "older incarnation");
+      return RefusedResult(ResultCode::kAnnouncementRejected,
+                           "older incarnation");
     if (it->second.group != info.group)
-      return Refused(ResultCode::kAnnouncementRejected,
-                     "endpoint belongs to group " + it->second.group);
+      return RefusedResult(ResultCode::kAnnouncementRejected,
+                           "endpoint belongs to group " + it->second.group);
   }
   endpoints_[info.endpoint] = info;
   ++groups_revision_;
@@ -113,10 +114,10 @@
     const messages::AssignCoordinator& assign) {
   const auto it = groups_.find(assign.group);
   if (it == groups_.end())
-    return Refused(ResultCode::kUnknownGroup, assign.group);
+    return RefusedResult(ResultCode::kUnknownGroup, assign.group);
   messages::GroupState& group = it->second;
   if (assign.epoch != group.coordinator_epoch + 1)
-    return Refused(ResultCode::kCoordinatorMoved, "epoch has moved on");
+    return RefusedResult(ResultCode::kCoordinatorMoved, "epoch has moved on");
   if (const auto old = groups_by_coordinator_.find(group.coordinator);
       old != groups_by_coordinator_.end()) {
     old->second.erase(assign.group);
@@ -133,20 +134,20 @@
 ApplyResult ControlState::SetPrimary(const messages::SetPrimary& set) {
   const auto it = groups_.find(set.group);
   if (it == groups_.end())
-    return Refused(ResultCode::kUnknownGroup, set.group);
+    return RefusedResult(ResultCode::kUnknownGroup, set.group);
   messages::GroupState& group = it->second;
   if (set.epoch != group.coordinator_epoch)
-    return Refused(ResultCode::kCoordinatorMoved,
-                   "the asking coordinator was replaced");
+    return RefusedResult(ResultCode::kCoordinatorMoved,
+                         "the asking coordinator was replaced");
   if (set.term != group.term + 1)
-    return Refused(ResultCode::kCoordinatorMoved, "term has moved on");
+    return RefusedResult(ResultCode::kCoordinatorMoved, "term has moved on");
   group.term = set.term;
   group.primary = set.primary;
   messages::TermStart start;
   start.term = set.term;
   start.position = set.previous_term_end;
   group.term_starts.push_back(start);
-  if (group.term_starts.size() > kMaxTermStarts)
+  if (group.term_starts.size() > kMaxTermStartsPerGroup)
     group.term_starts.erase(group.term_starts.begin());
   group.revision = ++groups_revision_;
   return {};
@@ -168,11 +169,11 @@
     journal_.pop_front();
 }
 
-const std::set<std::string>& ControlState::GroupsOf(
+const std::set<std::string>& ControlState::GroupsCoordinatedBy(
     const std::string& instance) const {
-  static const std::set<std::string> none;
+  static const std::set<std::string> no_groups;
   const auto it = groups_by_coordinator_.find(instance);
-  return it == groups_by_coordinator_.end() ? none : it->second;
+  return it == groups_by_coordinator_.end() ? no_groups : it->second;
 }
 
 messages::ControlSnapshot ControlState::Save() const {
--- a/control/src/leader.cc
+++ b/control/src/leader.cc
@@ -28,9 +28,9 @@
       term_(term),
       options_(options),
       random_secret_(std::move(random_secret)),
-      takeover_(now),
+      leader_since_(now),
       owner_(term, now, IncarnationsOf(*state)) {
-  // The earlier leader may have given leases up to now.
+  // The previous leader may have granted leases until now.
   for (const auto& [name, group] : state_->groups())
     coordinator_lease_until_[name] =
         now + WithDrift(options_.coordinator_lease);
@@ -39,7 +39,7 @@
 
 LeaderEffects Leader::OnReport(const messages::EntryReport& report, Time now) {
   const std::string& name = report.instance.instance;
-  InstanceView& view = views_[name];
+  InstanceView& view = instance_views_[name];
   if (report.instance.incarnation < view.incarnation)
     return TakeEffects();
   view.incarnation = report.instance.incarnation;
@@ -53,13 +53,13 @@
     note.subject = name;
     note.cause = "planned stop";
     command.__isset.note = true;
-    Propose(std::move(command), kNoteKey, name);
+    Propose(std::move(command), kNoteKeyPrefix, name);
   }
   view.draining = report.draining;
   ProposeRegistrations(report, report.wall_ms);
-  ProposeNotes(report);
+  ProposeJournalEntries(report);
 
-  messages::ControlUpdate update = UpdateFor(view);
+  messages::ControlUpdate update = MakeUpdate(view);
   update.report_sequence = report.sequence;
   update.report_sent_micros = report.sent_micros;
   const auto registered = state_->instances().find(name);
@@ -70,11 +70,11 @@
     messages::Command command;
     command.__set_remove_instance(name);
     if (is_registered)
-      Propose(std::move(command), kRemoveKey, name);
+      Propose(std::move(command), kRemoveKeyPrefix, name);
     return TakeEffects();
   }
-  // Only a registered instance gets leases: changes wait for every instance
-  // that may serve, and those are the registered ones.
+  // Only a registered instance is granted leases: a change waits for the
+  // registered instances, so no other instance may serve requests.
   if (is_registered) {
     view.last_report = now;
     update.control_lease_ms = options_.control_lease.count();
@@ -86,7 +86,7 @@
   messages::PeerMessage message;
   message.__set_update(update);
   effects_.messages.emplace_back(name, std::move(message));
-  CheckInForce(now);
+  CompleteInForceWaits(now);
   return TakeEffects();
 }
 
@@ -96,21 +96,21 @@
                                 Time now) {
   messages::Command command = request.command;
   command.wall_ms = wall_ms;
-  const Asker asker{from, request.id, request.wait_in_force};
+  const Requester requester{from, request.id, request.wait_in_force};
   if (command.__isset.set_primary) {
-    // The coordinator's lease must be in force: a coordinator that control
-    // has given up can't change the primary.
+    // A coordinator whose lease has expired on the leader's side must not
+    // change the primary.
     const messages::SetPrimary& set = command.set_primary;
     const auto it = state_->groups().find(set.group);
     if (it == state_->groups().end() || it->second.coordinator != from ||
         now >= coordinator_lease_until_[set.group]) {
-      Respond(asker, ResultCode::kCoordinatorMoved, 0,
+      Respond(requester, ResultCode::kCoordinatorMoved, 0,
               "the asking instance does not coordinate the group", {});
       return TakeEffects();
     }
   }
   const std::uint64_t id = next_proposal_++;
-  askers_[id] = asker;
+  requesters_[id] = requester;
   effects_.proposals.push_back({id, std::move(command)});
   return TakeEffects();
 }
@@ -118,30 +118,32 @@
 LeaderEffects Leader::OnApplied(std::uint64_t id,
                                 const ApplyResult& result,
                                 Time now) {
-  if (const auto it = pending_keys_.find(id); it != pending_keys_.end()) {
-    // A new coordinator has one lease's time to ask for its first lease;
-    // without it the group would be assigned anew at each tick.
-    if (it->second.starts_with(kCoordinatorKey))
-      coordinator_lease_until_[it->second.substr(kCoordinatorKey.size())] =
+  if (const auto it = pending_key_by_proposal_.find(id);
+      it != pending_key_by_proposal_.end()) {
+    // A new coordinator has the duration of one lease to request its first
+    // lease. Otherwise the group would be reassigned at each tick.
+    if (it->second.starts_with(kCoordinatorKeyPrefix))
+      coordinator_lease_until_[it->second.substr(
+          kCoordinatorKeyPrefix.size())] =
           now + WithDrift(options_.coordinator_lease);
-    pending_.erase(it->second);
-    pending_keys_.erase(it);
+    pending_keys_.erase(it->second);
+    pending_key_by_proposal_.erase(it);
   }
   RefreshLimits(now);
   if (result.code == ResultCode::kOk)
     PushUpdates();
-  const auto it = askers_.find(id);
-  if (it == askers_.end())
+  const auto it = requesters_.find(id);
+  if (it == requesters_.end())
     return TakeEffects();
-  const Asker asker = it->second;
-  askers_.erase(it);
-  if (result.code != ResultCode::kOk || !asker.wait_in_force) {
-    Respond(asker, result.code, result.revision, result.message, {});
+  const Requester requester = it->second;
+  requesters_.erase(it);
+  if (result.code != ResultCode::kOk || !requester.wait_in_force) {
+    Respond(requester, result.code, result.revision, result.message, {});
     return TakeEffects();
   }
-  in_force_waits_.push_back({asker, result.revision,
+  in_force_waits_.push_back({requester, result.revision,
                              now + options_.in_force_timeout, result.message});
-  CheckInForce(now);
+  CompleteInForceWaits(now);
   return TakeEffects();
 }
 
@@ -152,19 +154,20 @@
     Propose(std::move(command), "session secret", "");
   }
   AssignCoordinators(wall_ms, now);
-  RemoveSilentInstances(wall_ms, now);
-  CheckInForce(now);
+  RemoveInactiveInstances(wall_ms, now);
+  CompleteInForceWaits(now);
   return TakeEffects();
 }
 
-std::vector<std::string> Leader::MissingRevision(std::int64_t revision,
-                                                 Time now) const {
+std::vector<std::string> Leader::InstancesMissingRevision(std::int64_t revision,
+                                                          Time now) const {
   std::vector<std::string> missing;
   for (const auto& [name, info] : state_->instances()) {
     if (IsLapsed(name, now))
       continue;
-    const auto view = views_.find(name);
-    if (view != views_.end() && view->second.applied_revision >= revision &&
+    const auto view = instance_views_.find(name);
+    if (view != instance_views_.end() &&
+        view->second.applied_revision >= revision &&
         view->second.incarnation == info.incarnation)
       continue;
     missing.push_back(name);
@@ -182,39 +185,40 @@
 }
 
 bool Leader::IsLapsed(const std::string& instance, Time now) const {
-  const auto view = views_.find(instance);
-  Time last = takeover_;
-  if (view != views_.end() && view->second.last_report)
+  const auto view = instance_views_.find(instance);
+  Time last = leader_since_;
+  if (view != instance_views_.end() && view->second.last_report)
     last = *view->second.last_report;
   return now - last > WithDrift(options_.control_lease);
 }
 
 void Leader::Propose(messages::Command command,
-                     std::string_view about,
+                     std::string_view key_prefix,
                      const std::string& name) {
-  std::string pending_key = std::string(about) + name;
-  if (!pending_.insert(pending_key).second)
+  std::string pending_key = std::string(key_prefix) + name;
+  if (!pending_keys_.insert(pending_key).second)
     return;
   const std::uint64_t id = next_proposal_++;
-  pending_keys_[id] = std::move(pending_key);
+  pending_key_by_proposal_[id] = std::move(pending_key);
   effects_.proposals.push_back({id, std::move(command)});
 }
 
-void Leader::CheckInForce(Time now) {
+void Leader::CompleteInForceWaits(Time now) {
   std::erase_if(in_force_waits_, [&](const InForceWait& wait) {
-    std::vector<std::string> missing = MissingRevision(wait.revision, now);
+    std::vector<std::string> missing =
+        InstancesMissingRevision(wait.revision, now);
     if (!missing.empty() && now < wait.deadline)
       return false;
     const bool in_force = missing.empty();
-    Respond(wait.asker, in_force ? ResultCode::kOk : ResultCode::kNotInForce,
-            wait.revision, wait.message,
-            in_force ? LapsedInstances(now) : std::move(missing));
+    Respond(wait.requester,
+            in_force ? ResultCode::kOk : ResultCode::kNotInForce, wait.revision,
+            wait.message, in_force ? LapsedInstances(now) : std::move(missing));
     return true;
   });
 }
 
 void Leader::RefreshLimits(Time now) {
-  limits_.Refresh(
+  limit_refresher_.Refresh(
       state_->configuration(),
       [&](const std::string& customer, std::optional<quota::Limit> limit) {
         if (limit)
@@ -225,16 +229,16 @@
 }
 
 void Leader::PushUpdates() {
-  for (const auto& [name, view] : views_) {
+  for (const auto& [name, view] : instance_views_) {
     if (!view.last_report)
       continue;
     messages::PeerMessage message;
-    message.__set_update(UpdateFor(view));
+    message.__set_update(MakeUpdate(view));
     effects_.messages.emplace_back(name, std::move(message));
   }
 }
 
-messages::ControlUpdate Leader::UpdateFor(const InstanceView& view) const {
+messages::ControlUpdate Leader::MakeUpdate(const InstanceView& view) const {
   messages::ControlUpdate update;
   update.leader_term = term_;
   update.leader = self_;
@@ -259,25 +263,25 @@
   return update;
 }
 
-void Leader::Respond(const Asker& asker,
+void Leader::Respond(const Requester& requester,
                      ResultCode code,
                      std::int64_t revision,
                      const std::string& message,
                      std::vector<std::string> missing) {
   messages::ProposeResponse response;
-  response.id = asker.request_id;
+  response.id = requester.request_id;
   response.code = ToNumber(code);
   response.revision = revision;
   response.message = message;
   response.missing = std::move(missing);
   messages::PeerMessage peer_message;
   peer_message.__set_propose_response(response);
-  effects_.messages.emplace_back(asker.instance, std::move(peer_message));
+  effects_.messages.emplace_back(requester.instance, std::move(peer_message));
 }
 
 Duration Leader::WithDrift(std::chrono::milliseconds lease) const {
-  return std::chrono::duration_cast<Duration>(lease *
-                                              (1.0 + options_.clock_drift));
+  return std::chrono::duration_cast<Duration>(
+      lease * (1.0 + options_.clock_drift_fraction));
 }
 
 LeaderEffects Leader::TakeEffects() {
--- a/control/src/leader_assignments.cc
+++ b/control/src/leader_assignments.cc
@@ -7,9 +7,9 @@
 namespace goldcrest::control {
 namespace {
 
-// Notes of coordinators that are logged per report; more would let one
-// instance fill the log.
-constexpr std::size_t kMaxNotesPerReport = 20;
+// Limits the journal entries that are logged for one report, so that a single
+// instance cannot fill the log.
+constexpr std::size_t kMaxJournalEntriesPerReport = 20;
 
 }  // namespace
 
@@ -23,7 +23,7 @@
     messages::Command command;
     command.wall_ms = wall_ms;
     command.__set_register_instance(report.instance);
-    Propose(std::move(command), kInstanceKey, name);
+    Propose(std::move(command), kInstanceKeyPrefix, name);
   }
   for (const messages::Announcement& announcement : report.announcements) {
     const messages::EndpointInfo& info = announcement.info;
@@ -34,14 +34,14 @@
     messages::Command command;
     command.wall_ms = wall_ms;
     command.__set_register_endpoint(info);
-    Propose(std::move(command), kEndpointKey, info.endpoint);
+    Propose(std::move(command), kEndpointKeyPrefix, info.endpoint);
   }
 }
 
-void Leader::ProposeNotes(const messages::EntryReport& report) {
-  std::size_t notes = 0;
+void Leader::ProposeJournalEntries(const messages::EntryReport& report) {
+  std::size_t proposed_entries = 0;
   for (const messages::JournalEntry& entry : report.journal) {
-    if (++notes > kMaxNotesPerReport)
+    if (++proposed_entries > kMaxJournalEntriesPerReport)
       return;
     messages::Command command;
     command.wall_ms = entry.wall_ms;
@@ -54,25 +54,26 @@
                          messages::ControlUpdate* update,
                          Time now) {
   const std::string& name = report.instance.instance;
-  // The loss of one instance should not cost a group both its coordinator and
-  // the leader that names the next, so a leader hands its groups over.
-  const bool other_candidate =
-      now - takeover_ >= options_.report_timeout &&
+  // The failure of one instance should not stop both a group's coordinator and
+  // the leader that assigns the next one, so the leader hands its own groups
+  // over if another instance can coordinate them.
+  const bool has_other_candidate =
+      now - leader_since_ >= options_.report_timeout &&
       std::ranges::any_of(state_->instances(), [&](const auto& entry) {
-        return entry.first != self_ && IsCandidate(entry.first, now);
+        return entry.first != self_ && IsCoordinatorCandidate(entry.first, now);
       });
   std::set<std::string> resigned;
   for (const messages::CoordinatorReport& coordinator : report.coordinators) {
     if (coordinator.resign)
       resigned.insert(coordinator.group);
   }
-  for (const std::string& group_name : state_->GroupsOf(name)) {
+  for (const std::string& group_name : state_->GroupsCoordinatedBy(name)) {
     if (resigned.contains(group_name)) {
       coordinator_lease_until_[group_name] = now;
       continue;
     }
-    // An assignment of another instance may be on its way into the log.
-    if (pending_.contains(std::string(kCoordinatorKey) + group_name))
+    // The log may already contain the assignment of another coordinator.
+    if (pending_keys_.contains(std::string(kCoordinatorKeyPrefix) + group_name))
       continue;
     messages::CoordinatorLease lease;
     lease.group = group_name;
@@ -81,7 +82,7 @@
     update->leases.push_back(lease);
     coordinator_lease_until_[group_name] =
         now + WithDrift(options_.coordinator_lease);
-    if (name == self_ && other_candidate)
+    if (name == self_ && has_other_candidate)
       update->hand_over.push_back(group_name);
   }
 }
@@ -103,13 +104,14 @@
     messages::Command command;
     command.wall_ms = wall_ms;
     command.__set_assign_coordinator(assign);
-    Propose(std::move(command), kCoordinatorKey, name);
+    Propose(std::move(command), kCoordinatorKeyPrefix, name);
   }
 }
 
-bool Leader::IsCandidate(const std::string& instance, Time now) const {
-  const auto view = views_.find(instance);
-  return view != views_.end() && view->second.last_report &&
+bool Leader::IsCoordinatorCandidate(const std::string& instance,
+                                    Time now) const {
+  const auto view = instance_views_.find(instance);
+  return view != instance_views_.end() && view->second.last_report &&
          !view->second.draining &&
          now - *view->second.last_report <= options_.report_timeout;
 }
@@ -120,9 +122,9 @@
   std::map<std::string, int> load;
   for (const auto& [name, other] : state_->groups())
     ++load[other.coordinator];
-  // Assignments in the log's queue are not in the state yet.
-  for (const std::string& key : pending_) {
-    if (key.starts_with(kCoordinatorKey))
+  // Pending assignments are not part of the state yet.
+  for (const std::string& key : pending_keys_) {
+    if (key.starts_with(kCoordinatorKeyPrefix))
       ++load[key];
   }
 
@@ -130,13 +132,15 @@
   const std::string zone =
       primary == state_->endpoints().end() ? "" : primary->second.zone;
   std::optional<std::string> best;
-  // The leader comes last; see GrantLeases().
+  // Lower is better: the leader ranks last (see GrantLeases()), then the
+  // instance with fewer groups, then one in the availability zone of the
+  // primary.
   std::tuple<bool, int, bool> best_rank;
   for (const auto& [name, info] : state_->instances()) {
-    if (!IsCandidate(name, now))
+    if (!IsCoordinatorCandidate(name, now))
       continue;
-    // Right after the election its own report is often the only one.
-    if (name == self_ && now - takeover_ < options_.report_timeout)
+    // Right after the election the leader's own report is often the only one.
+    if (name == self_ && now - leader_since_ < options_.report_timeout)
       continue;
     const std::tuple rank(name == self_, load[name], info.zone != zone);
     if (best && rank >= best_rank)
@@ -147,18 +151,18 @@
   return best;
 }
 
-void Leader::RemoveSilentInstances(std::int64_t wall_ms, Time now) {
+void Leader::RemoveInactiveInstances(std::int64_t wall_ms, Time now) {
   for (const auto& [name, info] : state_->instances()) {
-    const auto view = views_.find(name);
-    Time last = takeover_;
-    if (view != views_.end() && view->second.last_report)
+    const auto view = instance_views_.find(name);
+    Time last = leader_since_;
+    if (view != instance_views_.end() && view->second.last_report)
       last = *view->second.last_report;
     if (now - last < options_.removal_timeout)
       continue;
     messages::Command command;
     command.wall_ms = wall_ms;
     command.__set_remove_instance(name);
-    Propose(std::move(command), kRemoveKey, name);
+    Propose(std::move(command), kRemoveKeyPrefix, name);
   }
 }
 
--- a/control/src/limit_refresher.cc
+++ b/control/src/limit_refresher.cc
@@ -7,7 +7,7 @@
 void LimitRefresher::Refresh(
     const policy::Configuration& configuration,
     const std::function<void(const std::string& customer,
-                             std::optional<quota::Limit>)>& set) {
+                             std::optional<quota::Limit>)>& set_limit) {
   if (configuration.Revision() == revision_)
     return;
   revision_ = configuration.Revision();
@@ -17,14 +17,15 @@
     const auto limit = configuration.QuotaOf(customer.name);
     if (!limit)
       continue;
-    set(customer.name, quota::Limit{limit->rate_micros, limit->burst_micros});
+    set_limit(customer.name,
+              quota::Limit{limit->rate_micros, limit->burst_micros});
     limited.insert(customer.name);
   }
-  for (const std::string& customer : limited_) {
+  for (const std::string& customer : limited_customers_) {
     if (!limited.contains(customer))
-      set(customer, std::nullopt);
+      set_limit(customer, std::nullopt);
   }
-  limited_ = std::move(limited);
+  limited_customers_ = std::move(limited);
 }
 
 }  // namespace goldcrest::control
--- a/control/tests/leader_test.cc
+++ b/control/tests/leader_test.cc
@@ -7,14 +7,14 @@
 
 using std::chrono::milliseconds;
 
-// A lease as control counts it: with 10% for clocks that run apart.
-constexpr Duration kCoordinatorLease = milliseconds(1320);
-constexpr Duration kControlLease = milliseconds(3300);
+// Lease durations on the leader's side: extended by 10% for clock drift.
+constexpr Duration kCoordinatorLeaseWithDrift = milliseconds(1320);
+constexpr Duration kControlLeaseWithDrift = milliseconds(3300);
 
-// A leader over a state in which e1 coordinates the group "bookings".
-class Bench {
+// A leader with a state in which e1 coordinates the group "bookings".
+class LeaderFixture {
  public:
-  Bench() {
+  LeaderFixture() {
     messages::Command endpoint;
     messages::EndpointInfo info;
     info.endpoint = "a";
@@ -26,16 +26,16 @@
       instance.__set_register_instance(InfoOf(name));
       state_.Apply(instance);
     }
-    CHECK(Assign(1).code == ResultCode::kOk);
-    TakeOver();
+    CHECK(AssignCoordinator(1).code == ResultCode::kOk);
+    ReplaceLeader();
   }
 
-  void TakeOver() {
+  void ReplaceLeader() {
     leader_ = std::make_unique<Leader>(
         &state_, "e9", ++term_, LeaderOptions(),
         [] { return std::string(32, 's'); }, now);
   }
-  ApplyResult Assign(std::int64_t epoch) {
+  ApplyResult AssignCoordinator(std::int64_t epoch) {
     messages::Command command;
     messages::AssignCoordinator assign;
     assign.group = "bookings";
@@ -46,12 +46,13 @@
   }
   ApplyResult SetPrimary(std::int64_t epoch, std::int64_t term) {
     messages::Command command;
-    command.__set_set_primary(Primary(epoch, term));
+    command.__set_set_primary(MakeSetPrimary(epoch, term));
     return state_.Apply(command);
   }
-  ResultCode Ask(const std::string& from) {
+  // Requests a change of primary; kOk if the leader proposes it.
+  ResultCode RequestPromotion(const std::string& from) {
     messages::ProposeRequest request;
-    request.command.__set_set_primary(Primary(1, 1));
+    request.command.__set_set_primary(MakeSetPrimary(1, 1));
     const LeaderEffects effects = leader_->OnPropose(from, request, 0, now);
     return effects.proposals.empty() ? ResultCode::kCoordinatorMoved
                                      : ResultCode::kOk;
@@ -69,8 +70,8 @@
     return effects.messages.empty() ? messages::ControlUpdate()
                                     : effects.messages.front().second.update;
   }
-  // True when the leader logs another coordinator at `now`.
-  bool Assigns() {
+  // True if the leader proposes a coordinator at `now`.
+  bool AssignsCoordinator() {
     for (const Proposal& proposal : leader_->Tick(0, now).proposals) {
       if (proposal.command.__isset.assign_coordinator)
         return true;
@@ -88,7 +89,8 @@
     info.incarnation = 1;
     return info;
   }
-  static messages::SetPrimary Primary(std::int64_t epoch, std::int64_t term) {
+  static messages::SetPrimary MakeSetPrimary(std::int64_t epoch,
+                                             std::int64_t term) {
     messages::SetPrimary set;
     set.group = "bookings";
     set.epoch = epoch;
@@ -105,72 +107,75 @@
 
 }  // namespace
 
-TEST_CASE("A group gets no second coordinator while the first may act",
+TEST_CASE("A group gets no second coordinator while the first may hold a lease",
           "[control][guarantee]") {
-  Bench bench;
-
-  SECTION("after a lease that this leader gave") {
-    bench.now += milliseconds(500);
-    CHECK(bench.Report("e1").leases.size() == 1);
-    bench.now += kCoordinatorLease - milliseconds(1);
-    bench.Report("e2");
-    CHECK_FALSE(bench.Assigns());
-    CHECK(bench.Ask("e1") == ResultCode::kOk);
-    bench.now += milliseconds(1);
-    CHECK(bench.Ask("e1") == ResultCode::kCoordinatorMoved);
-    REQUIRE(bench.Assigns());
-    // The successor may be in the log already.
-    CHECK(bench.Report("e1").leases.empty());
+  LeaderFixture fixture;
+
+  SECTION("the lease was granted by this leader") {
+    fixture.now += milliseconds(500);
+    CHECK(fixture.Report("e1").leases.size() == 1);
+    fixture.now += kCoordinatorLeaseWithDrift - milliseconds(1);
+    fixture.Report("e2");
+    CHECK_FALSE(fixture.AssignsCoordinator());
+    CHECK(fixture.RequestPromotion("e1") == ResultCode::kOk);
+    fixture.now += milliseconds(1);
+    CHECK(fixture.RequestPromotion("e1") == ResultCode::kCoordinatorMoved);
+    REQUIRE(fixture.AssignsCoordinator());
+    // The log may already contain the assignment of the successor.
+    CHECK(fixture.Report("e1").leases.empty());
   }
-  SECTION("after a lease that an earlier leader gave") {
-    bench.Report("e1");
-    bench.TakeOver();
-    bench.now += kCoordinatorLease - milliseconds(1);
-    bench.Report("e2");
-    CHECK_FALSE(bench.Assigns());
-    bench.now += milliseconds(1);
-    CHECK(bench.Assigns());
+  SECTION("the lease was granted by an earlier leader") {
+    fixture.Report("e1");
+    fixture.ReplaceLeader();
+    fixture.now += kCoordinatorLeaseWithDrift - milliseconds(1);
+    fixture.Report("e2");
+    CHECK_FALSE(fixture.AssignsCoordinator());
+    fixture.now += milliseconds(1);
+    CHECK(fixture.AssignsCoordinator());
   }
-  SECTION("and none that is about to stop") {
-    bench.now += kCoordinatorLease;
-    bench.Report("e2", 1, true);
-    CHECK_FALSE(bench.Assigns());
+  SECTION("a draining instance is not assigned") {
+    fixture.now += kCoordinatorLeaseWithDrift;
+    fixture.Report("e2", 1, true);
+    CHECK_FALSE(fixture.AssignsCoordinator());
   }
-  SECTION("that asks for a promotion") {
-    CHECK(bench.Ask("e2") == ResultCode::kCoordinatorMoved);
+  SECTION("an instance that is not the coordinator cannot change the primary") {
+    CHECK(fixture.RequestPromotion("e2") == ResultCode::kCoordinatorMoved);
   }
 }
 
-TEST_CASE("Decisions that rest on an older epoch or term are refused",
-          "[control][guarantee]") {
-  // Guards against a proposal that waited in the log of an earlier leader.
-  Bench bench;
-  CHECK(bench.Assign(1).code == ResultCode::kCoordinatorMoved);
-  CHECK(bench.Assign(2).code == ResultCode::kOk);
-  CHECK(bench.SetPrimary(1, 1).code == ResultCode::kCoordinatorMoved);
-  CHECK(bench.SetPrimary(2, 1).code == ResultCode::kOk);
-  CHECK(bench.SetPrimary(2, 1).code == ResultCode::kCoordinatorMoved);
+TEST_CASE(
+    "Assignments and promotions with an outdated epoch or term are refused",
+    "[control][guarantee]") {
+  // Guards against a proposal of an earlier leader that is committed late,
+  // after newer decisions.
+  LeaderFixture fixture;
+  CHECK(fixture.AssignCoordinator(1).code == ResultCode::kCoordinatorMoved);
+  CHECK(fixture.AssignCoordinator(2).code == ResultCode::kOk);
+  CHECK(fixture.SetPrimary(1, 1).code == ResultCode::kCoordinatorMoved);
+  CHECK(fixture.SetPrimary(2, 1).code == ResultCode::kOk);
+  CHECK(fixture.SetPrimary(2, 1).code == ResultCode::kCoordinatorMoved);
 }
 
-TEST_CASE("A silent instance is waited for while it may serve",
+TEST_CASE("A change waits for a silent instance until its lease has expired",
           "[control][guarantee]") {
-  // Guards against a change that is called in force while an instance serves
-  // under the lease of an earlier leader or process.
-  Bench bench;
-  const std::vector<std::string> both = {"e1", "e2"};
-  bench.now += kControlLease;
-  CHECK(bench.leader().MissingRevision(1, bench.now) == both);
-  bench.now += milliseconds(1);
-  CHECK(bench.leader().MissingRevision(1, bench.now).empty());
-  bench.Report("e1");
-  bench.now += kControlLease;
-  CHECK(bench.leader().MissingRevision(1, bench.now) ==
+  // Guards against reporting a change as in force while an instance still
+  // serves under a lease from an earlier leader or of an earlier process.
+  LeaderFixture fixture;
+  const std::vector<std::string> both_instances = {"e1", "e2"};
+  fixture.now += kControlLeaseWithDrift;
+  CHECK(fixture.leader().InstancesMissingRevision(1, fixture.now) ==
+        both_instances);
+  fixture.now += milliseconds(1);
+  CHECK(fixture.leader().InstancesMissingRevision(1, fixture.now).empty());
+  fixture.Report("e1");
+  fixture.now += kControlLeaseWithDrift;
+  CHECK(fixture.leader().InstancesMissingRevision(1, fixture.now) ==
         std::vector<std::string>{"e1"});
 
-  SECTION("a process that is not registered gets no lease") {
-    CHECK(bench.Report("e2", 2).control_lease_ms == 0);
-    CHECK(bench.Report("e2").control_lease_ms == 0);
-    CHECK(bench.Report("e1").control_lease_ms > 0);
+  SECTION("a process with an unregistered incarnation is granted no lease") {
+    CHECK(fixture.Report("e2", 2).control_lease_ms == 0);
+    CHECK(fixture.Report("e2").control_lease_ms == 0);
+    CHECK(fixture.Report("e1").control_lease_ms > 0);
   }
 }
 
