--- a/storage/include/goldcrest/storage/file_hooks.h
+++ b/storage/include/goldcrest/storage/file_hooks.h
@@ -8,8 +8,8 @@
 
 namespace goldcrest::storage {
 
-//! The system calls that write, with their usual results and errno. Tests
-//! replace them to inject full disks, short writes and failed syncs.
+//! Replaceable write(2) and fsync(2), with the same results and errno. Tests
+//! use them to inject full disks, short writes and failed syncs.
 struct FileHooks {
   FileHooks();
 
--- a/storage/include/goldcrest/storage/log_store.h
+++ b/storage/include/goldcrest/storage/log_store.h
@@ -23,25 +23,26 @@
   FileHooks hooks;
 };
 
-//! The replicated log of one member in one data folder, which it locks. Blocks
-//! on the disk; not thread-safe.
+//! Stores the replicated log of one member in a data folder, which it locks.
+//! Calls block on disk I/O. Not thread-safe.
 //!
 //! Files: `lock`, `identity`, `hard_state`, `snapshot`, `log`. All but the lock
 //! consist of checksummed records (see internal/record.h).
 class LogStore {
  public:
   //! Errors: kDataFolderInUse; kIdentityMismatch: the folder belongs to another
-  //! cluster or instance; kLogDamaged; kLogWriteFailed. An incomplete last
-  //! record of the log is cut off.
+  //! cluster or instance; kLogDamaged; kLogWriteFailed. Truncates an incomplete
+  //! last record of the log.
   static boost::leaf::result<OpenedLog> Open(LogStoreOptions options);
 
   ~LogStore();
   LogStore(const LogStore&) = delete;
   LogStore& operator=(const LogStore&) = delete;
 
-  //! Carries out the writes in order and returns when they are durable.
-  //! kLogWriteFailed: they may or may not be durable; every later call fails,
-  //! because a file system may drop data after a failed sync. Stop the process.
+  //! Performs the writes in order and returns when they are durable. After
+  //! kLogWriteFailed they may or may not be durable, and every later call
+  //! fails, because a file system may drop data after a failed sync; the caller
+  //! must stop the process.
   boost::leaf::result<void> Apply(
       const std::vector<consensus::LogWrite>& writes);
 
--- a/storage/include/goldcrest/storage/storage_error.h
+++ b/storage/include/goldcrest/storage/storage_error.h
@@ -11,7 +11,7 @@
 struct StorageError {
   //! kLogDamaged, kLogWriteFailed, kDataFolderInUse or kIdentityMismatch.
   ResultCode code = ResultCode::kLogWriteFailed;
-  std::string message;  //!< Names the file, the offset where known, the cause.
+  std::string message;  //!< File, offset if known, and cause.
 };
 
 }  // namespace goldcrest::storage
--- a/storage/internal/entry_log.h
+++ b/storage/internal/entry_log.h
@@ -12,29 +12,33 @@
 
 namespace goldcrest::storage {
 
-//! The file of log entries, one record each, without gaps. It may begin below
-//! the snapshot's last index only between a crash and Load().
+//! The log file: one record per entry, with consecutive indexes. Entries that
+//! the snapshot covers are in the file only from a crash until Load().
 class EntryLog {
  public:
   //! `folder` is the open data folder, which must outlive this object.
   EntryLog(File& folder, FileHooks hooks);
 
-  //! Opens or creates the file, cuts off a torn tail, drops what the snapshot
-  //! replaces, and returns the other entries. kLogDamaged, kLogWriteFailed.
+  //! Opens or creates the file, truncates an incomplete last record, drops the
+  //! entries that the snapshot replaces and returns the remaining ones.
+  //! Errors: kLogDamaged, kLogWriteFailed.
   boost::leaf::result<std::vector<messages::LogEntry>> Load(
       const consensus::Snapshot& snapshot);
 
-  //! Not durable before Sync().
+  //! The entries are durable only after Sync().
   boost::leaf::result<void> Append(
       const std::vector<messages::LogEntry>& entries);
   boost::leaf::result<void> Sync();
-  //! Drops the entries from `index` on, durably.
+  //! Durably removes the entries from `index` on.
   boost::leaf::result<void> Truncate(std::int64_t index);
-  //! Drops what the snapshot replaces, durably. The snapshot must be durable.
-  boost::leaf::result<void> Install(const consensus::Snapshot& snapshot);
+  //! Durably removes the entries up to the snapshot's last index, or all
+  //! entries if the log does not match the snapshot. The snapshot must be
+  //! durable.
+  boost::leaf::result<void> InstallSnapshot(
+      const consensus::Snapshot& snapshot);
 
  private:
-  struct Slot {
+  struct EntryLocation {
     std::uint64_t offset;
     std::int64_t term;
   };
@@ -42,14 +46,14 @@
   boost::leaf::result<void> Scan(const std::string& bytes,
                                  std::vector<messages::LogEntry>& entries);
   std::int64_t LastIndex() const;
-  bool Keeps(const consensus::Snapshot& snapshot) const;
+  bool MatchesSnapshot(const consensus::Snapshot& snapshot) const;
   boost::leaf::result<void> OpenFile();
 
   File& folder_;
   FileHooks hooks_;
   File file_;
   std::int64_t first_index_ = 1;
-  std::vector<Slot> slots_;
+  std::vector<EntryLocation> locations_;
   std::uint64_t size_ = 0;
   bool unsynced_ = false;
 };
--- a/storage/internal/file.h
+++ b/storage/internal/file.h
@@ -11,7 +11,7 @@
 
 namespace goldcrest::storage {
 
-//! An open file or directory. Errors of all functions are StorageError.
+//! An open file or directory. All functions report errors as StorageError.
 class File {
  public:
   File() = default;
@@ -21,19 +21,20 @@
   File(const File&) = delete;
   File& operator=(const File&) = delete;
 
-  //! `flags` as for open(2); kLogWriteFailed.
+  //! `flags` are those of open(2). Error: kLogWriteFailed.
   static boost::leaf::result<File> Open(const std::filesystem::path& path,
                                         int flags);
 
   int Descriptor() const { return descriptor_; }
   const std::filesystem::path& Path() const { return path_; }
 
-  //! Appends all of `bytes`, continuing after short writes; kLogWriteFailed.
+  //! Writes all of `bytes`, continuing after short writes. Error:
+  //! kLogWriteFailed.
   boost::leaf::result<void> Write(const FileHooks& hooks,
                                   std::string_view bytes);
   boost::leaf::result<void> Sync(const FileHooks& hooks);
   boost::leaf::result<void> Truncate(std::uint64_t size);
-  //! The whole contents; kLogDamaged when they can't be read.
+  //! Returns the whole contents. Error: kLogDamaged.
   boost::leaf::result<std::string> ReadAll() const;
 
  private:
@@ -43,8 +44,9 @@
   int descriptor_ = -1;
 };
 
-//! Makes the contents of the file durable before its name: after a crash the
-//! file is either the old or the new one. `folder` is the open directory.
+//! Replaces a file atomically: syncs a temporary file before renaming it, so
+//! that the old or the new contents are there after a crash. `folder` is the
+//! open directory of the file.
 boost::leaf::result<void> ReplaceFile(File& folder,
                                       const std::string& name,
                                       std::string_view bytes,
--- a/storage/internal/records.h
+++ b/storage/internal/records.h
@@ -17,10 +17,10 @@
   bool operator==(const Identity&) const = default;
 };
 
-//! Contents of the small files, as records whose payloads are PeerMessages:
-//! a Hello; a VoteRequest with the term, the vote as candidate and `joining` as
-//! pre_vote; SnapshotChunks. The Decode functions return nullopt unless the
-//! bytes are exactly what Encode wrote.
+//! Contents of the files `identity`, `hard_state` and `snapshot`. Each consists
+//! of records whose payloads are PeerMessages: a Hello; a VoteRequest with the
+//! term, the vote as candidate and `joining` as pre_vote; SnapshotChunks. The
+//! Decode functions return nullopt for incomplete or damaged contents.
 std::string EncodeIdentity(const Identity& identity);
 std::optional<Identity> DecodeIdentity(std::string_view bytes);
 
--- a/storage/src/entry_log.cc
+++ b/storage/src/entry_log.cc
@@ -15,18 +15,18 @@
 
 namespace leaf = boost::leaf;
 
-constexpr const char* kFileName = "log";
+constexpr const char* kLogFileName = "log";
 
-leaf::error_id OutOfOrder(const File& file, std::int64_t index) {
+leaf::error_id OutOfOrderError(const File& file, std::int64_t index) {
   return leaf::new_error(
       StorageError{ResultCode::kLogWriteFailed,
                    fmt::format("can't write {}: index {} is out of order",
                                file.Path().string(), index)});
 }
 
-leaf::error_id Damaged(const File& file,
-                       std::size_t offset,
-                       std::string_view cause) {
+leaf::error_id DamagedError(const File& file,
+                            std::size_t offset,
+                            std::string_view cause) {
   return leaf::new_error(
       StorageError{ResultCode::kLogDamaged,
                    fmt::format("{} is damaged at offset {}: {}",
@@ -44,26 +44,27 @@
   BOOST_LEAF_AUTO(bytes, file_.ReadAll());
   std::vector<messages::LogEntry> entries;
   BOOST_LEAF_CHECK(Scan(bytes, entries));
-  if (slots_.empty())
+  if (locations_.empty())
     first_index_ = snapshot.last_index + 1;
   if (first_index_ > snapshot.last_index + 1)
-    return Damaged(file_, 0,
-                   fmt::format("the first index is {}, the snapshot's last {}",
-                               first_index_, snapshot.last_index));
+    return DamagedError(
+        file_, 0,
+        fmt::format("the first index is {}, the snapshot's last {}",
+                    first_index_, snapshot.last_index));
   if (first_index_ <= snapshot.last_index) {
-    if (!Keeps(snapshot)) {
+    if (!MatchesSnapshot(snapshot)) {
       entries.clear();
     } else {
       entries.erase(entries.begin(),
                     entries.begin() + (snapshot.last_index - first_index_ + 1));
     }
-    BOOST_LEAF_CHECK(Install(snapshot));
+    BOOST_LEAF_CHECK(InstallSnapshot(snapshot));
   }
   return entries;
 }
 
 leaf::result<void> EntryLog::OpenFile() {
-  BOOST_LEAF_AUTO(file, File::Open(folder_.Path() / kFileName,
+  BOOST_LEAF_AUTO(file, File::Open(folder_.Path() / kLogFileName,
                                    O_RDWR | O_CREAT | O_APPEND));
   file_ = std::move(file);
   return folder_.Sync(hooks_);
@@ -78,12 +79,12 @@
             (!entries.empty() && (entry->index != entries.back().index + 1 ||
                                   entry->term < entries.back().term)))
           return false;
-        slots_.push_back({offset, entry->term});
+        locations_.push_back({offset, entry->term});
         entries.push_back(std::move(*entry));
         return true;
       });
   if (result.end == ScanEnd::kDamaged)
-    return Damaged(file_, result.offset, "wrong checksum or contents");
+    return DamagedError(file_, result.offset, "wrong checksum or contents");
   if (result.end == ScanEnd::kTorn) {
     BOOST_LEAF_CHECK(file_.Truncate(result.offset));
     BOOST_LEAF_CHECK(file_.Sync(hooks_));
@@ -95,7 +96,7 @@
 }
 
 std::int64_t EntryLog::LastIndex() const {
-  return first_index_ + static_cast<std::int64_t>(slots_.size()) - 1;
+  return first_index_ + static_cast<std::int64_t>(locations_.size()) - 1;
 }
 
 leaf::result<void> EntryLog::Append(
@@ -103,8 +104,8 @@
   std::string bytes;
   for (const messages::LogEntry& entry : entries) {
     if (entry.index != LastIndex() + 1)
-      return OutOfOrder(file_, entry.index);
-    slots_.push_back({size_ + bytes.size(), entry.term});
+      return OutOfOrderError(file_, entry.index);
+    locations_.push_back({size_ + bytes.size(), entry.term});
     bytes += EncodeRecord(messages::Encode(entry));
   }
   unsynced_ = true;
@@ -121,44 +122,47 @@
 
 leaf::result<void> EntryLog::Truncate(std::int64_t index) {
   if (index < first_index_ || index > LastIndex() + 1)
-    return OutOfOrder(file_, index);
+    return OutOfOrderError(file_, index);
   if (index > LastIndex())
     return {};
   const auto count = static_cast<std::size_t>(index - first_index_);
-  size_ = slots_[count].offset;
-  slots_.resize(count);
-  // Synced at once: if later records were written over the dropped ones first,
-  // a crash could leave a mixture that looks like damage.
+  size_ = locations_[count].offset;
+  locations_.resize(count);
+  // Syncs before later records overwrite the removed ones: otherwise a crash
+  // could leave a mixture of both, which would be read as damage.
   BOOST_LEAF_CHECK(file_.Truncate(size_));
   unsynced_ = false;
   return file_.Sync(hooks_);
 }
 
-bool EntryLog::Keeps(const consensus::Snapshot& snapshot) const {
+bool EntryLog::MatchesSnapshot(const consensus::Snapshot& snapshot) const {
   if (snapshot.last_index < first_index_ || snapshot.last_index > LastIndex())
     return false;
-  const auto slot =
+  const auto position =
       static_cast<std::size_t>(snapshot.last_index - first_index_);
-  return slots_[slot].term == snapshot.last_term;
+  return locations_[position].term == snapshot.last_term;
 }
 
-leaf::result<void> EntryLog::Install(const consensus::Snapshot& snapshot) {
+leaf::result<void> EntryLog::InstallSnapshot(
+    const consensus::Snapshot& snapshot) {
   BOOST_LEAF_AUTO(bytes, file_.ReadAll());
-  std::vector<Slot> kept;
+  std::vector<EntryLocation> kept;
   std::uint64_t start = size_;
-  if (Keeps(snapshot)) {
+  if (MatchesSnapshot(snapshot)) {
     const auto dropped =
         static_cast<std::size_t>(snapshot.last_index - first_index_ + 1);
-    if (dropped < slots_.size())
-      start = slots_[dropped].offset;
-    for (std::size_t slot = dropped; slot < slots_.size(); ++slot)
-      kept.push_back({slots_[slot].offset - start, slots_[slot].term});
+    if (dropped < locations_.size())
+      start = locations_[dropped].offset;
+    for (std::size_t position = dropped; position < locations_.size();
+         ++position)
+      kept.push_back(
+          {locations_[position].offset - start, locations_[position].term});
   }
   const auto tail = std::string_view(bytes).substr(start);
-  BOOST_LEAF_CHECK(ReplaceFile(folder_, kFileName, tail, hooks_));
+  BOOST_LEAF_CHECK(ReplaceFile(folder_, kLogFileName, tail, hooks_));
   BOOST_LEAF_CHECK(OpenFile());
   first_index_ = snapshot.last_index + 1;
-  slots_ = std::move(kept);
+  locations_ = std::move(kept);
   size_ = tail.size();
   unsynced_ = false;
   return {};
--- a/storage/src/file.cc
+++ b/storage/src/file.cc
@@ -18,21 +18,21 @@
 
 namespace leaf = boost::leaf;
 
-// Owner only: the log holds the session secret.
+// Only the owner may read the files: the log contains the session secret.
 constexpr mode_t kFileMode = 0600;
 
-leaf::error_id Failed(ResultCode code,
-                      std::string_view action,
-                      const std::filesystem::path& path,
-                      int error) {
+leaf::error_id IoError(ResultCode code,
+                       std::string_view action,
+                       const std::filesystem::path& path,
+                       int error) {
   return leaf::new_error(
       StorageError{code, fmt::format("can't {} {}: {}", action, path.string(),
                                      std::generic_category().message(error))});
 }
 
-leaf::error_id WriteFailed(std::string_view action,
-                           const std::filesystem::path& path) {
-  return Failed(ResultCode::kLogWriteFailed, action, path, errno);
+leaf::error_id WriteError(std::string_view action,
+                          const std::filesystem::path& path) {
+  return IoError(ResultCode::kLogWriteFailed, action, path, errno);
 }
 
 }  // namespace
@@ -60,7 +60,7 @@
 leaf::result<File> File::Open(const std::filesystem::path& path, int flags) {
   const int descriptor = ::open(path.c_str(), flags | O_CLOEXEC, kFileMode);
   if (descriptor < 0)
-    return WriteFailed("open", path);
+    return WriteError("open", path);
   return File(path, descriptor);
 }
 
@@ -71,9 +71,9 @@
     if (written < 0 && errno == EINTR)
       continue;
     if (written < 0)
-      return WriteFailed("write", path_);
+      return WriteError("write", path_);
     if (written == 0)
-      return Failed(ResultCode::kLogWriteFailed, "write", path_, ENOSPC);
+      return IoError(ResultCode::kLogWriteFailed, "write", path_, ENOSPC);
     bytes.remove_prefix(static_cast<std::size_t>(written));
   }
   return {};
@@ -81,20 +81,20 @@
 
 leaf::result<void> File::Sync(const FileHooks& hooks) {
   if (hooks.sync(descriptor_) != 0)
-    return WriteFailed("sync", path_);
+    return WriteError("sync", path_);
   return {};
 }
 
 leaf::result<void> File::Truncate(std::uint64_t size) {
   if (::ftruncate(descriptor_, static_cast<off_t>(size)) != 0)
-    return WriteFailed("truncate", path_);
+    return WriteError("truncate", path_);
   return {};
 }
 
 leaf::result<std::string> File::ReadAll() const {
   struct stat status {};
   if (::fstat(descriptor_, &status) != 0)
-    return Failed(ResultCode::kLogDamaged, "read", path_, errno);
+    return IoError(ResultCode::kLogDamaged, "read", path_, errno);
   std::string bytes(static_cast<std::size_t>(status.st_size), '\0');
   std::size_t done = 0;
   while (done < bytes.size()) {
@@ -104,8 +104,8 @@
     if (count < 0 && errno == EINTR)
       continue;
     if (count <= 0)
-      return Failed(ResultCode::kLogDamaged, "read", path_,
-                    count < 0 ? errno : EIO);
+      return IoError(ResultCode::kLogDamaged, "read", path_,
+                     count < 0 ? errno : EIO);
     done += static_cast<std::size_t>(count);
   }
   return bytes;
@@ -121,7 +121,7 @@
   BOOST_LEAF_CHECK(file.Write(hooks, bytes));
   BOOST_LEAF_CHECK(file.Sync(hooks));
   if (std::rename(temporary.c_str(), path.c_str()) != 0)
-    return WriteFailed("rename", temporary);
+    return WriteError("rename", temporary);
   return folder.Sync(hooks);
 }
 
--- a/storage/src/log_store.cc
+++ b/storage/src/log_store.cc
@@ -26,13 +26,14 @@
 constexpr const char* kLogFile = "log";
 constexpr const char* kLockFile = "lock";
 
-leaf::error_id Damaged(const std::filesystem::path& path,
-                       std::string_view cause) {
+leaf::error_id DamagedError(const std::filesystem::path& path,
+                            std::string_view cause) {
   return leaf::new_error(StorageError{
       ResultCode::kLogDamaged, fmt::format("{} {}", path.string(), cause)});
 }
 
-// Reads a file that Decode must understand whole; nullopt when it is missing.
+// Returns nullopt when the file is missing, and kLogDamaged when `decode` does
+// not accept its whole contents.
 template <typename Value>
 leaf::result<std::optional<Value>> ReadFile(
     const std::filesystem::path& path,
@@ -43,11 +44,12 @@
   BOOST_LEAF_AUTO(bytes, file.ReadAll());
   auto value = decode(bytes);
   if (!value)
-    return Damaged(path, "is damaged at offset 0: wrong checksum or contents");
+    return DamagedError(path,
+                        "is damaged at offset 0: wrong checksum or contents");
   return value;
 }
 
-bool HasHistory(const std::filesystem::path& folder) {
+bool HasStoredState(const std::filesystem::path& folder) {
   std::error_code error;
   const auto log_size = std::filesystem::file_size(folder / kLogFile, error);
   return std::filesystem::exists(folder / kHardStateFile) ||
@@ -92,27 +94,28 @@
   BOOST_LEAF_AUTO(hard_state,
                   ReadFile(PathOf(kHardStateFile), DecodeHardState));
   BOOST_LEAF_AUTO(snapshot, ReadFile(PathOf(kSnapshotFile), DecodeSnapshot));
-  if (!hard_state && HasHistory(folder_.Path()))
-    return Damaged(PathOf(kHardStateFile), "is missing beside a log");
+  if (!hard_state && HasStoredState(folder_.Path()))
+    return DamagedError(PathOf(kHardStateFile), "is missing beside a log");
   if (hard_state && !std::filesystem::exists(PathOf(kLogFile)))
-    return Damaged(PathOf(kLogFile), "is missing");
+    return DamagedError(PathOf(kLogFile), "is missing");
   state.fresh = !hard_state;
   state.hard_state = hard_state.value_or(consensus::HardState{});
   state.snapshot = std::move(snapshot).value_or(consensus::Snapshot{});
   BOOST_LEAF_AUTO(entries, log_.Load(state.snapshot));
   state.entries = std::move(entries);
-  // The term is made durable before the entries of that term.
+  // A term is made durable before the entries of that term, so the hard
+  // state can't have an older term than the last entry.
   if (!state.entries.empty() &&
       state.entries.back().term > state.hard_state.term)
-    return Damaged(PathOf(kHardStateFile), "is older than the log");
+    return DamagedError(PathOf(kHardStateFile), "is older than the log");
   return state;
 }
 
 leaf::result<void> LogStore::Impl::CheckIdentity() {
   const Identity own{options_.cluster, options_.instance};
   BOOST_LEAF_AUTO(found, ReadFile(PathOf(kIdentityFile), DecodeIdentity));
-  if (!found && HasHistory(folder_.Path()))
-    return Damaged(PathOf(kIdentityFile), "is missing beside a log");
+  if (!found && HasStoredState(folder_.Path()))
+    return DamagedError(PathOf(kIdentityFile), "is missing beside a log");
   if (!found)
     return ReplaceFile(folder_, kIdentityFile, EncodeIdentity(own),
                        options_.hooks);
@@ -165,7 +168,7 @@
 leaf::result<void> LogStore::Impl::Write(const consensus::SaveSnapshot& save) {
   BOOST_LEAF_CHECK(ReplaceFile(folder_, kSnapshotFile,
                                EncodeSnapshot(save.snapshot), options_.hooks));
-  return log_.Install(save.snapshot);
+  return log_.InstallSnapshot(save.snapshot);
 }
 
 leaf::result<OpenedLog> LogStore::Open(LogStoreOptions options) {
--- a/storage/src/record.cc
+++ b/storage/src/record.cc
@@ -13,20 +13,20 @@
 constexpr std::size_t kEndBytes = 1;
 constexpr char kEndByte = '\xA5';
 
-std::uint32_t Crc(std::string_view bytes) {
+std::uint32_t Crc32(std::string_view bytes) {
   boost::crc_32_type crc;
   crc.process_bytes(bytes.data(), bytes.size());
   return crc.checksum();
 }
 
-std::string ToBytes(std::uint32_t value) {
+std::string EncodeUint32(std::uint32_t value) {
   std::string bytes(sizeof(value), '\0');
   boost::endian::store_little_u32(
       reinterpret_cast<unsigned char*>(bytes.data()), value);
   return bytes;
 }
 
-std::uint32_t ValueAt(std::string_view bytes, std::size_t offset) {
+std::uint32_t DecodeUint32(std::string_view bytes, std::size_t offset) {
   return boost::endian::load_little_u32(
       reinterpret_cast<const unsigned char*>(bytes.data() + offset));
 }
@@ -35,20 +35,22 @@
   return bytes.find_first_not_of('\0') == std::string_view::npos;
 }
 
-// The first record of `rest` is damaged, or incomplete if zeros follow from
-// within it to the end of the file.
-ScanEnd EndWithoutRecord(std::string_view rest, std::size_t known_bytes) {
+// Returns kTorn if the file ends with a zero byte and has only zeros after the
+// first `prefix_bytes` of the record, as a crash during a write can leave it;
+// otherwise kDamaged.
+ScanEnd ClassifyInvalidRecord(std::string_view rest, std::size_t prefix_bytes) {
   const bool unwritten =
-      rest.back() == '\0' && IsZero(rest.substr(known_bytes));
+      rest.back() == '\0' && IsZero(rest.substr(prefix_bytes));
   return unwritten ? ScanEnd::kTorn : ScanEnd::kDamaged;
 }
 
 }  // namespace
 
 std::string EncodeRecord(std::string_view payload) {
-  std::string record = ToBytes(static_cast<std::uint32_t>(payload.size())) +
-                       ToBytes(Crc(payload));
-  record += ToBytes(Crc(record));
+  std::string record =
+      EncodeUint32(static_cast<std::uint32_t>(payload.size())) +
+      EncodeUint32(Crc32(payload));
+  record += EncodeUint32(Crc32(record));
   record += payload;
   record += kEndByte;
   return record;
@@ -60,22 +62,22 @@
     const std::string_view rest = bytes.substr(offset);
     if (rest.size() < kHeaderBytes)
       return {ScanEnd::kTorn, offset};
-    if (Crc(rest.substr(0, kHeaderCrcOffset)) !=
-        ValueAt(rest, kHeaderCrcOffset))
-      return {EndWithoutRecord(rest, kHeaderBytes), offset};
-    const std::size_t size = ValueAt(rest, kSizeOffset);
+    if (Crc32(rest.substr(0, kHeaderCrcOffset)) !=
+        DecodeUint32(rest, kHeaderCrcOffset))
+      return {ClassifyInvalidRecord(rest, kHeaderBytes), offset};
+    const std::size_t size = DecodeUint32(rest, kSizeOffset);
     const std::size_t record_bytes = kHeaderBytes + size + kEndBytes;
     if (rest.size() < record_bytes)
       return {ScanEnd::kTorn, offset};
     const std::string_view payload = rest.substr(kHeaderBytes, size);
     if (rest[record_bytes - 1] != kEndByte)
-      return {EndWithoutRecord(rest, record_bytes - 1), offset};
-    if (Crc(payload) != ValueAt(rest, kPayloadCrcOffset) ||
+      return {ClassifyInvalidRecord(rest, record_bytes - 1), offset};
+    if (Crc32(payload) != DecodeUint32(rest, kPayloadCrcOffset) ||
         !on_record(offset, payload))
       return {ScanEnd::kDamaged, offset};
     offset += record_bytes;
   }
-  return {ScanEnd::kWhole, offset};
+  return {ScanEnd::kComplete, offset};
 }
 
 }  // namespace goldcrest::storage
--- a/storage/src/records.cc
+++ b/storage/src/records.cc
@@ -10,10 +10,10 @@
 namespace goldcrest::storage {
 namespace {
 
-// Keeps a record below the largest message that messages::Decode accepts.
-constexpr std::size_t kChunkBytes = std::size_t{4} << 20U;
+// Keeps each record below messages::kMaxEncodedBytes.
+constexpr std::size_t kSnapshotChunkBytes = std::size_t{4} << 20U;
 
-std::optional<std::vector<messages::PeerMessage>> DecodeAll(
+std::optional<std::vector<messages::PeerMessage>> DecodeMessages(
     std::string_view bytes) {
   std::vector<messages::PeerMessage> all;
   const auto result =
@@ -23,19 +23,20 @@
           all.push_back(std::move(*message));
         return message.has_value();
       });
-  if (result.end != ScanEnd::kWhole || all.empty())
+  if (result.end != ScanEnd::kComplete || all.empty())
     return std::nullopt;
   return all;
 }
 
-std::optional<messages::PeerMessage> DecodeOne(std::string_view bytes) {
-  const auto all = DecodeAll(bytes);
+std::optional<messages::PeerMessage> DecodeSingleMessage(
+    std::string_view bytes) {
+  const auto all = DecodeMessages(bytes);
   if (!all || all->size() != 1)
     return std::nullopt;
   return all->front();
 }
 
-std::string EncodeOne(const messages::ConsensusMessage& message) {
+std::string EncodeConsensusRecord(const messages::ConsensusMessage& message) {
   messages::PeerMessage peer_message;
   peer_message.__set_consensus(message);
   return EncodeRecord(messages::Encode(peer_message));
@@ -53,7 +54,7 @@
 }
 
 std::optional<Identity> DecodeIdentity(std::string_view bytes) {
-  const auto message = DecodeOne(bytes);
+  const auto message = DecodeSingleMessage(bytes);
   if (!message || !message->__isset.hello)
     return std::nullopt;
   return Identity{message->hello.cluster, message->hello.instance.instance};
@@ -66,11 +67,11 @@
   request.pre_vote = state.joining;
   messages::ConsensusMessage message;
   message.__set_vote_request(request);
-  return EncodeOne(message);
+  return EncodeConsensusRecord(message);
 }
 
 std::optional<consensus::HardState> DecodeHardState(std::string_view bytes) {
-  const auto message = DecodeOne(bytes);
+  const auto message = DecodeSingleMessage(bytes);
   if (!message || !message->consensus.__isset.vote_request)
     return std::nullopt;
   const messages::VoteRequest& request = message->consensus.vote_request;
@@ -87,18 +88,18 @@
     chunk.last_term = snapshot.last_term;
     chunk.members = snapshot.members;
     chunk.offset = static_cast<std::int64_t>(offset);
-    chunk.data = snapshot.data.substr(offset, kChunkBytes);
+    chunk.data = snapshot.data.substr(offset, kSnapshotChunkBytes);
     offset += chunk.data.size();
     chunk.done = offset == snapshot.data.size();
     messages::ConsensusMessage message;
     message.__set_snapshot_chunk(chunk);
-    bytes += EncodeOne(message);
+    bytes += EncodeConsensusRecord(message);
   } while (offset < snapshot.data.size());
   return bytes;
 }
 
 std::optional<consensus::Snapshot> DecodeSnapshot(std::string_view bytes) {
-  const auto all = DecodeAll(bytes);
+  const auto all = DecodeMessages(bytes);
   if (!all)
     return std::nullopt;
   consensus::Snapshot snapshot;
