--- a/settings/include/goldcrest/settings/daemon_settings.h
+++ b/settings/include/goldcrest/settings/daemon_settings.h
@@ -12,7 +12,7 @@
 
 namespace goldcrest::settings {
 
-//! IP number and port.
+//! IP address and port.
 struct Address {
   std::string host;
   std::uint16_t port = 0;
@@ -27,14 +27,14 @@
   std::chrono::milliseconds header_timeout{5'000};
   std::chrono::milliseconds body_timeout{10'000};
   std::chrono::milliseconds idle_timeout{60'000};
-  //! From the failing health check to the closed listener.
+  //! Time between failing the health check and closing the listener.
   std::chrono::milliseconds drain_grace{2'000};
   int workers = 2;
 };
 
 struct ControlMember {
   std::string instance;
-  Address address;  //!< Of its peer listener.
+  Address address;  //!< Address of the peer listener.
 };
 
 struct ControlSettings {
@@ -71,14 +71,14 @@
 };
 
 struct LoadedSettings {
-  DaemonSettings settings;        //!< Complete only without problems.
-  std::vector<Problem> problems;  //!< All of the file, by line.
+  DaemonSettings settings;        //!< Complete only if there are no problems.
+  std::vector<Problem> problems;  //!< All problems of the file, sorted by line.
 };
 
-//! Reads a TOML file. The paths in it are taken from its folder.
+//! Reads a TOML file. Paths in it are relative to its folder.
 LoadedSettings LoadSettings(const std::filesystem::path& path);
 
-//! The problems of LoadSettings.
+//! Returns only the problems that LoadSettings finds.
 std::vector<Problem> CheckSettings(const std::filesystem::path& path);
 
 }  // namespace goldcrest::settings
--- a/settings/include/goldcrest/settings/http_client.h
+++ b/settings/include/goldcrest/settings/http_client.h
@@ -33,16 +33,15 @@
   HttpClient& operator=(const HttpClient&) = delete;
 
   //! Opens the connection if there is none. Returns nullopt when no complete
-  //! answer arrives within `timeout`; the connection is closed then, so a late
-  //! answer can't be taken for that of the next call.
+  //! answer arrives within `timeout`, and closes the connection, so that a late
+  //! answer is not taken for the answer to the next call.
   std::optional<HttpAnswer> Call(const HttpCall& call,
                                  std::chrono::milliseconds timeout);
 
-  //! Closes the connection.
   void Close();
 
-  //! Whether the last call had a connection, so that the server may have got
-  //! its request although no answer came.
+  //! Whether the last call had a connection: the server may then have received
+  //! the request even if no answer arrived.
   bool last_call_sent() const { return last_call_sent_; }
 
  private:
--- a/settings/include/goldcrest/settings/problem.h
+++ b/settings/include/goldcrest/settings/problem.h
@@ -11,7 +11,7 @@
 //! One fault in a settings file.
 struct Problem {
   std::string file;
-  std::uint32_t line = 0;  //!< For a missing key, that of its table.
+  std::uint32_t line = 0;  //!< For a missing key, the line of its table.
   std::string key;         //!< Full name, such as entry.workers.
   ResultCode code = ResultCode::kSettingsUnreadable;
   std::string expected;
--- a/settings/internal/table_reader.h
+++ b/settings/internal/table_reader.h
@@ -17,52 +17,54 @@
 
 namespace goldcrest::settings {
 
-//! Reads the values of one TOML table and notes every problem. A read returns
-//! nullopt when there is no valid value.
+//! Reads the values of one TOML table and records every problem. The Read
+//! functions return nullopt when there is no valid value.
 class TableReader {
  public:
   enum class Need : std::uint8_t { kOptional, kRequired };
 
-  //! `name` is the table's full name, empty for the whole file. The table may
-  //! be null: then all its keys are missing, at `line`.
+  //! `name` is the table's full name, empty for the root table. If `table`
+  //! is null, its required keys are reported missing at `line`.
   TableReader(const toml::table* table,
               std::string name,
               std::string file,
               std::uint32_t line,
               std::vector<Problem>* problems);
 
-  std::optional<std::string> Text(std::string_view key, Need need);
-  std::optional<std::string> Digest(std::string_view key, Need need);
+  std::optional<std::string> ReadText(std::string_view key, Need need);
+  std::optional<std::string> ReadDigest(std::string_view key, Need need);
   std::optional<Address> ReadAddress(std::string_view key, Need need);
-  std::optional<std::int64_t> Integer(std::string_view key,
-                                      std::int64_t low,
-                                      std::int64_t high);
-  //! Optional, from 1 ms to one day.
-  void Millis(std::string_view key, std::chrono::milliseconds& value);
-  std::optional<bool> Flag(std::string_view key);
-  std::optional<LogLevel> Level(std::string_view key);
-  TableReader Table(std::string_view key);
-  //! Readers of an array of tables; with kRequired it may not be empty.
-  std::vector<TableReader> Tables(std::string_view key, Need need);
+  std::optional<std::int64_t> ReadInteger(std::string_view key,
+                                          std::int64_t low,
+                                          std::int64_t high);
+  //! Sets `value` if the key has a valid value, from 1 ms to one day.
+  void ReadMilliseconds(std::string_view key, std::chrono::milliseconds& value);
+  std::optional<bool> ReadBool(std::string_view key);
+  std::optional<LogLevel> ReadLogLevel(std::string_view key);
+  TableReader ReadTable(std::string_view key);
+  //! Returns a reader for each table of an array; with kRequired the array must
+  //! not be empty.
+  std::vector<TableReader> ReadTables(std::string_view key, Need need);
 
-  //! Notes the keys that no read has asked for.
-  void CheckUnknownKeys();
-  void Note(std::string_view key, ResultCode code, std::string expected);
+  //! Adds a problem for each key that no Read function was called with.
+  void AddUnknownKeyProblems();
+  void AddProblem(std::string_view key, ResultCode code, std::string expected);
 
  private:
-  const toml::node* Find(std::string_view key);
-  void NoteMissing(std::string_view key, Need need, std::string expected);
-  //! Non-empty text.
-  std::optional<std::string> TextOf(std::string_view key,
-                                    Need need,
-                                    std::string expected);
+  const toml::node* FindNode(std::string_view key);
+  void AddMissingKeyProblem(std::string_view key,
+                            Need need,
+                            std::string expected);
+  std::optional<std::string> ReadNonEmptyText(std::string_view key,
+                                              Need need,
+                                              std::string expected);
 
   const toml::table* table_;
   std::string name_;
   std::string file_;
   std::uint32_t line_;
   std::vector<Problem>* problems_;
-  std::set<std::string, std::less<>> known_;
+  std::set<std::string, std::less<>> read_keys_;
 };
 
 }  // namespace goldcrest::settings
--- a/settings/src/http_client.cc
+++ b/settings/src/http_client.cc
@@ -17,10 +17,10 @@
 namespace http = beast::http;
 using boost::system::error_code;
 
-// Largest answer accepted: a whole fleet's objects fit in it.
+// Large enough for a response with all configuration objects of a cluster.
 constexpr std::uint64_t kMaxAnswerBytes = std::uint64_t{64} << 20U;
 
-std::string LowerCase(std::string_view text) {
+std::string ToLowerCase(std::string_view text) {
   std::string lower(text);
   for (char& letter : lower)
     letter = letter >= 'A' && letter <= 'Z'
@@ -31,8 +31,8 @@
 
 }  // namespace
 
-//! Runs asynchronous operations one at a time, because blocking ones of Beast
-//! have no timeout.
+// Runs asynchronous operations one at a time, because the blocking operations
+// of Beast have no timeout.
 class HttpClient::Connection {
  public:
   bool Open(const std::string& host,
@@ -78,7 +78,7 @@
                       std::move(parser.get().body()),
                       {}};
     for (const auto& field : parser.get())
-      answer.headers[LowerCase(field.name_string())] =
+      answer.headers[ToLowerCase(field.name_string())] =
           std::string(field.value());
     return answer;
   }
--- a/settings/src/object_json.cc
+++ b/settings/src/object_json.cc
@@ -28,32 +28,32 @@
 constexpr std::size_t kMaxNameBytes = 200;
 constexpr std::size_t kDigestBytes = 32;
 constexpr double kMicrosPerUnit = 1e6;
-// Keeps millionths within 64 bits.
+// In millionths, this still fits in 64 bits.
 constexpr double kMaxRequests = 1e12;
 
 constexpr std::array<std::string_view, 6> kKindNames = {
     "customer", "key", "endpoint", "access", "quota", "objective"};
 
-// Sets of object kinds.
-using Kinds = unsigned;
-constexpr Kinds KindBit(ObjectKind::type kind) {
+// A set of object kinds, one bit per kind.
+using KindSet = unsigned;
+constexpr KindSet KindBit(ObjectKind::type kind) {
   return 1U << static_cast<unsigned>(kind);
 }
-constexpr Kinds kCustomer = KindBit(ObjectKind::CUSTOMER);
-constexpr Kinds kKey = KindBit(ObjectKind::KEY);
-constexpr Kinds kEndpoint = KindBit(ObjectKind::ENDPOINT);
-constexpr Kinds kAccess = KindBit(ObjectKind::ACCESS);
-constexpr Kinds kQuota = KindBit(ObjectKind::QUOTA);
-constexpr Kinds kObjective = KindBit(ObjectKind::OBJECTIVE);
-constexpr Kinds kAll =
+constexpr KindSet kCustomer = KindBit(ObjectKind::CUSTOMER);
+constexpr KindSet kKey = KindBit(ObjectKind::KEY);
+constexpr KindSet kEndpoint = KindBit(ObjectKind::ENDPOINT);
+constexpr KindSet kAccess = KindBit(ObjectKind::ACCESS);
+constexpr KindSet kQuota = KindBit(ObjectKind::QUOTA);
+constexpr KindSet kObjective = KindBit(ObjectKind::OBJECTIVE);
+constexpr KindSet kAllKinds =
     kCustomer | kKey | kEndpoint | kAccess | kQuota | kObjective;
 
 struct Field {
   std::string_view name;
-  Kinds kinds;     // that have the field
-  Kinds required;  // that must have it, unless the object is deleted
+  KindSet kinds;     // Kinds of objects that may have the field.
+  KindSet required;  // Kinds that must have it unless deleted.
   std::string_view expected;
-  bool (*read)(const json::value&, Object&);  // false when not valid
+  bool (*read)(const json::value&, Object&);  // Returns false if invalid.
   std::optional<json::value> (*write)(const Object&);
 };
 
@@ -75,7 +75,7 @@
   return number;
 }
 
-// A number of units as millionths.
+// Converts a JSON number of units to millionths.
 std::optional<std::int64_t> ReadMicros(const json::value& value, double high) {
   boost::system::error_code error;
   if (!value.is_number())
@@ -86,7 +86,7 @@
   return std::llround(number * kMicrosPerUnit);
 }
 
-json::value FromMicros(std::int64_t micros) {
+json::value MicrosToJson(std::int64_t micros) {
   constexpr std::int64_t whole = 1'000'000;
   if (micros % whole == 0)
     return micros / whole;
@@ -102,16 +102,16 @@
   return std::nullopt;
 }
 
-// Stores `read` through `setter`; false when nothing was read.
+// Passes `read` to `setter`; returns false when it is empty.
 template <typename Read, typename Value>
-bool Store(Read read, Object& object, void (Object::*setter)(Value)) {
+bool StoreIfRead(Read read, Object& object, void (Object::*setter)(Value)) {
   if (!read)
     return false;
   (object.*setter)(*read);
   return true;
 }
 
-std::optional<json::value> IfSet(bool is_set, json::value value) {
+std::optional<json::value> ValueIf(bool is_set, json::value value) {
   if (!is_set)
     return std::nullopt;
   return value;
@@ -162,7 +162,7 @@
   return true;
 }
 
-bool ReadFlag(const json::value& value, bool& flag) {
+bool ReadBool(const json::value& value, bool& flag) {
   if (!value.is_bool())
     return false;
   flag = value.get_bool();
@@ -177,122 +177,125 @@
 }
 
 constexpr std::int64_t kMaxInteger = std::numeric_limits<std::int64_t>::max();
-constexpr std::string_view kSelectorText = "a selector as text";
+constexpr std::string_view kExpectedSelector = "a selector as text";
 
 constexpr std::array kFields = {
-    Field{"kind", kAll, kAll,
+    Field{"kind", kAllKinds, kAllKinds,
           "customer, key, endpoint, access, quota or objective",
           [](const json::value& v, Object& o) {
-            return Store(ReadKind(v), o, &Object::__set_kind);
+            return StoreIfRead(ReadKind(v), o, &Object::__set_kind);
           },
           [](const Object& o) {
-            return IfSet(true, json::value(ToText(o.kind)));
+            return ValueIf(true, json::value(ToText(o.kind)));
           }},
-    Field{"name", kAll, kAll, "text of 1 to 200 bytes", &ReadName,
-          [](const Object& o) { return IfSet(true, json::value(o.name)); }},
-    Field{"revision", kAll, 0, "an integer of at least 0",
+    Field{"name", kAllKinds, kAllKinds, "text of 1 to 200 bytes", &ReadName,
+          [](const Object& o) { return ValueIf(true, json::value(o.name)); }},
+    Field{"revision", kAllKinds, 0, "an integer of at least 0",
           [](const json::value& v, Object& o) {
-            return Store(ReadInteger(v, 0, kMaxInteger), o,
-                         &Object::__set_revision);
+            return StoreIfRead(ReadInteger(v, 0, kMaxInteger), o,
+                               &Object::__set_revision);
           },
-          [](const Object& o) { return IfSet(o.revision != 0, o.revision); }},
+          [](const Object& o) { return ValueIf(o.revision != 0, o.revision); }},
     Field{
-        "deleted", kAll, 0, "true or false",
-        [](const json::value& v, Object& o) { return ReadFlag(v, o.deleted); },
-        [](const Object& o) { return IfSet(o.deleted, o.deleted); }},
+        "deleted", kAllKinds, 0, "true or false",
+        [](const json::value& v, Object& o) { return ReadBool(v, o.deleted); },
+        [](const Object& o) { return ValueIf(o.deleted, o.deleted); }},
     Field{"labels", kCustomer | kKey | kEndpoint, 0,
           "a table of label names with text values", &ReadLabels,
           [](const Object& o) {
-            return IfSet(!o.labels.empty(), LabelsToJson(o));
+            return ValueIf(!o.labels.empty(), LabelsToJson(o));
           }},
     Field{"customer", kKey, kKey, "the name of a customer",
           [](const json::value& v, Object& o) {
-            return Store(ReadText(v), o, &Object::__set_customer);
+            return StoreIfRead(ReadText(v), o, &Object::__set_customer);
           },
           [](const Object& o) {
-            return IfSet(o.__isset.customer, json::value(o.customer));
+            return ValueIf(o.__isset.customer, json::value(o.customer));
           }},
     Field{"digest", kKey, kKey, "64 hexadecimal digits in lower case",
           &ReadDigest,
           [](const Object& o) {
-            return IfSet(o.__isset.digest, json::value(ToHex(o.digest)));
+            return ValueIf(o.__isset.digest, json::value(ToHex(o.digest)));
           }},
-    Field{"callers", kAccess | kQuota | kObjective, 0, kSelectorText,
+    Field{"callers", kAccess | kQuota | kObjective, 0, kExpectedSelector,
           [](const json::value& v, Object& o) {
-            return Store(ReadText(v), o, &Object::__set_callers);
+            return StoreIfRead(ReadText(v), o, &Object::__set_callers);
           },
           [](const Object& o) {
-            return IfSet(o.__isset.callers, json::value(o.callers));
+            return ValueIf(o.__isset.callers, json::value(o.callers));
           }},
-    Field{"endpoints", kAccess, 0, kSelectorText,
+    Field{"endpoints", kAccess, 0, kExpectedSelector,
           [](const json::value& v, Object& o) {
-            return Store(ReadText(v), o, &Object::__set_endpoints);
+            return StoreIfRead(ReadText(v), o, &Object::__set_endpoints);
           },
           [](const Object& o) {
-            return IfSet(o.__isset.endpoints, json::value(o.endpoints));
+            return ValueIf(o.__isset.endpoints, json::value(o.endpoints));
           }},
     Field{"mode", kAccess, kAccess, "read or write", &ReadMode,
           [](const Object& o) {
-            return IfSet(o.__isset.mode,
-                         o.mode == AccessMode::READ ? "read" : "write");
+            return ValueIf(o.__isset.mode,
+                           o.mode == AccessMode::READ ? "read" : "write");
           }},
     Field{"max_age_ms", kAccess, 0, "an integer of at least 0",
           [](const json::value& v, Object& o) {
-            return Store(ReadInteger(v, 0, kMaxInteger), o,
-                         &Object::__set_max_age_ms);
+            return StoreIfRead(ReadInteger(v, 0, kMaxInteger), o,
+                               &Object::__set_max_age_ms);
           },
           [](const Object& o) {
-            return IfSet(o.__isset.max_age_ms, o.max_age_ms);
+            return ValueIf(o.__isset.max_age_ms, o.max_age_ms);
           }},
     Field{"durability", kAccess, 0, "majority or primary", &ReadDurability,
           [](const Object& o) {
-            return IfSet(
+            return ValueIf(
                 o.__isset.durability,
                 o.durability == Durability::MAJORITY ? "majority" : "primary");
           }},
     Field{"open", kAccess, 0, "true or false",
           [](const json::value& v, Object& o) {
-            o.__isset.open = ReadFlag(v, o.open);
+            o.__isset.open = ReadBool(v, o.open);
             return o.__isset.open;
           },
-          [](const Object& o) { return IfSet(o.__isset.open, o.open); }},
+          [](const Object& o) { return ValueIf(o.__isset.open, o.open); }},
     Field{"order", kAccess | kQuota, 0, "an integer of 32 bits",
           [](const json::value& v, Object& o) {
-            return Store(ReadInteger(v, INT32_MIN, INT32_MAX), o,
-                         &Object::__set_order);
+            return StoreIfRead(ReadInteger(v, INT32_MIN, INT32_MAX), o,
+                               &Object::__set_order);
           },
-          [](const Object& o) { return IfSet(o.__isset.order, o.order); }},
+          [](const Object& o) { return ValueIf(o.__isset.order, o.order); }},
     Field{"rate", kQuota, kQuota, "requests per second, a number of at least 0",
           [](const json::value& v, Object& o) {
-            return Store(ReadMicros(v, kMaxRequests), o,
-                         &Object::__set_rate_micros);
+            return StoreIfRead(ReadMicros(v, kMaxRequests), o,
+                               &Object::__set_rate_micros);
           },
           [](const Object& o) {
-            return IfSet(o.__isset.rate_micros, FromMicros(o.rate_micros));
+            return ValueIf(o.__isset.rate_micros, MicrosToJson(o.rate_micros));
           }},
     Field{"burst", kQuota, kQuota, "requests, a number of at least 0",
           [](const json::value& v, Object& o) {
-            return Store(ReadMicros(v, kMaxRequests), o,
-                         &Object::__set_burst_micros);
+            return StoreIfRead(ReadMicros(v, kMaxRequests), o,
+                               &Object::__set_burst_micros);
           },
           [](const Object& o) {
-            return IfSet(o.__isset.burst_micros, FromMicros(o.burst_micros));
+            return ValueIf(o.__isset.burst_micros,
+                           MicrosToJson(o.burst_micros));
           }},
     Field{"objective", kObjective, kObjective,
           "the share of good events, a number from 0 to 1",
           [](const json::value& v, Object& o) {
-            return Store(ReadMicros(v, 1), o, &Object::__set_objective_ppm);
+            return StoreIfRead(ReadMicros(v, 1), o,
+                               &Object::__set_objective_ppm);
           },
           [](const Object& o) {
-            return IfSet(o.__isset.objective_ppm, FromMicros(o.objective_ppm));
+            return ValueIf(o.__isset.objective_ppm,
+                           MicrosToJson(o.objective_ppm));
           }},
     Field{"latency_ms", kObjective, kObjective, "an integer of at least 1",
           [](const json::value& v, Object& o) {
-            return Store(ReadInteger(v, 1, kMaxInteger), o,
-                         &Object::__set_latency_ms);
+            return StoreIfRead(ReadInteger(v, 1, kMaxInteger), o,
+                               &Object::__set_latency_ms);
           },
           [](const Object& o) {
-            return IfSet(o.__isset.latency_ms, o.latency_ms);
+            return ValueIf(o.__isset.latency_ms, o.latency_ms);
           }},
 };
 
@@ -320,12 +323,12 @@
   return nullptr;
 }
 
-// Checks which fields are there, apart from their values.
+// Reports unknown and missing fields; the values are checked by ReadObject.
 void CheckFields(const json::object& value,
                  const Object& object,
                  const std::string& prefix,
                  std::vector<std::string>* errors) {
-  const Kinds kind = KindBit(object.kind);
+  const KindSet kind = KindBit(object.kind);
   for (const auto& [name, unused] : value) {
     const Field* field = FindField(name);
     if (!field)
@@ -336,8 +339,8 @@
                                     prefix, field->name, ToText(object.kind)));
   }
   for (const Field& field : kFields) {
-    const bool needed =
-        (field.required & kind) && (!object.deleted || field.required == kAll);
+    const bool needed = (field.required & kind) &&
+                        (!object.deleted || field.required == kAllKinds);
     if (needed && !value.contains(field.name))
       errors->push_back(fmt::format("{}{}: missing, expected {}", prefix,
                                     field.name, field.expected));
--- a/settings/src/table_reader.cc
+++ b/settings/src/table_reader.cc
@@ -13,14 +13,15 @@
 namespace {
 
 constexpr std::size_t kDigestBytes = 32;
-constexpr std::chrono::milliseconds kMaxTime = std::chrono::hours(24);
+constexpr std::chrono::milliseconds kMaxTimeout = std::chrono::hours(24);
 
-constexpr std::array<std::pair<std::string_view, LogLevel>, 4> kLevels = {{
-    {"error", LogLevel::kError},
-    {"warning", LogLevel::kWarning},
-    {"info", LogLevel::kInfo},
-    {"debug", LogLevel::kDebug},
-}};
+constexpr std::array<std::pair<std::string_view, LogLevel>, 4> kLogLevelNames =
+    {{
+        {"error", LogLevel::kError},
+        {"warning", LogLevel::kWarning},
+        {"info", LogLevel::kInfo},
+        {"debug", LogLevel::kDebug},
+    }};
 
 std::optional<Address> ParseAddress(std::string_view text) {
   const std::size_t colon = text.rfind(':');
@@ -54,106 +55,108 @@
       line_(line),
       problems_(problems) {}
 
-std::optional<std::string> TableReader::Text(std::string_view key, Need need) {
-  return TextOf(key, need, "text");
+std::optional<std::string> TableReader::ReadText(std::string_view key,
+                                                 Need need) {
+  return ReadNonEmptyText(key, need, "text");
 }
 
-std::optional<std::string> TableReader::Digest(std::string_view key,
-                                               Need need) {
+std::optional<std::string> TableReader::ReadDigest(std::string_view key,
+                                                   Need need) {
   const std::string expected = "64 hexadecimal digits in lower case";
-  const auto text = TextOf(key, need, expected);
+  const auto text = ReadNonEmptyText(key, need, expected);
   if (!text)
     return std::nullopt;
   std::string digest = FromHex(*text);
   if (digest.size() == kDigestBytes)
     return digest;
-  Note(key, ResultCode::kSettingsOutOfRange, expected);
+  AddProblem(key, ResultCode::kSettingsOutOfRange, expected);
   return std::nullopt;
 }
 
 std::optional<Address> TableReader::ReadAddress(std::string_view key,
                                                 Need need) {
   const std::string expected = "an IP number and a port, as 192.0.2.1:7000";
-  const auto text = TextOf(key, need, expected);
+  const auto text = ReadNonEmptyText(key, need, expected);
   if (!text)
     return std::nullopt;
   auto address = ParseAddress(*text);
   if (!address)
-    Note(key, ResultCode::kSettingsOutOfRange, expected);
+    AddProblem(key, ResultCode::kSettingsOutOfRange, expected);
   return address;
 }
 
-std::optional<std::int64_t> TableReader::Integer(std::string_view key,
-                                                 std::int64_t low,
-                                                 std::int64_t high) {
-  const toml::node* node = Find(key);
+std::optional<std::int64_t> TableReader::ReadInteger(std::string_view key,
+                                                     std::int64_t low,
+                                                     std::int64_t high) {
+  const toml::node* node = FindNode(key);
   if (!node)
     return std::nullopt;
   const std::string expected =
       fmt::format("an integer from {} to {}", low, high);
   if (!node->is_integer()) {
-    Note(key, ResultCode::kSettingsWrongType, expected);
+    AddProblem(key, ResultCode::kSettingsWrongType, expected);
     return std::nullopt;
   }
   const std::int64_t number = node->as_integer()->get();
   if (number >= low && number <= high)
     return number;
-  Note(key, ResultCode::kSettingsOutOfRange, expected);
+  AddProblem(key, ResultCode::kSettingsOutOfRange, expected);
   return std::nullopt;
 }
 
-void TableReader::Millis(std::string_view key,
-                         std::chrono::milliseconds& value) {
-  if (const auto number = Integer(key, 1, kMaxTime.count()))
+void TableReader::ReadMilliseconds(std::string_view key,
+                                   std::chrono::milliseconds& value) {
+  if (const auto number = ReadInteger(key, 1, kMaxTimeout.count()))
     value = std::chrono::milliseconds(*number);
 }
 
-std::optional<bool> TableReader::Flag(std::string_view key) {
-  const toml::node* node = Find(key);
+std::optional<bool> TableReader::ReadBool(std::string_view key) {
+  const toml::node* node = FindNode(key);
   if (!node)
     return std::nullopt;
   if (node->is_boolean())
     return node->as_boolean()->get();
-  Note(key, ResultCode::kSettingsWrongType, "true or false");
+  AddProblem(key, ResultCode::kSettingsWrongType, "true or false");
   return std::nullopt;
 }
 
-std::optional<LogLevel> TableReader::Level(std::string_view key) {
+std::optional<LogLevel> TableReader::ReadLogLevel(std::string_view key) {
   const std::string expected = "error, warning, info or debug";
-  const auto text = TextOf(key, Need::kOptional, expected);
+  const auto text = ReadNonEmptyText(key, Need::kOptional, expected);
   if (!text)
     return std::nullopt;
-  for (const auto& [name, level] : kLevels) {
+  for (const auto& [name, level] : kLogLevelNames) {
     if (name == *text)
       return level;
   }
-  Note(key, ResultCode::kSettingsOutOfRange, expected);
+  AddProblem(key, ResultCode::kSettingsOutOfRange, expected);
   return std::nullopt;
 }
 
-TableReader TableReader::Table(std::string_view key) {
-  const toml::node* node = Find(key);
+TableReader TableReader::ReadTable(std::string_view key) {
+  const toml::node* node = FindNode(key);
   if (node && !node->is_table())
-    Note(key, ResultCode::kSettingsWrongType, "a table");
+    AddProblem(key, ResultCode::kSettingsWrongType, "a table");
   return {node ? node->as_table() : nullptr, std::string(key), file_,
           node ? node->source().begin.line : line_, problems_};
 }
 
-std::vector<TableReader> TableReader::Tables(std::string_view key, Need need) {
+std::vector<TableReader> TableReader::ReadTables(std::string_view key,
+                                                 Need need) {
   const std::string expected = "an array of tables";
-  const toml::node* node = Find(key);
+  const toml::node* node = FindNode(key);
   if (!node) {
-    NoteMissing(key, need, expected);
+    AddMissingKeyProblem(key, need, expected);
     return {};
   }
   const toml::array* array = node->as_array();
   const bool empty = array && array->empty();
   if (!array || (!empty && !array->is_homogeneous(toml::node_type::table))) {
-    Note(key, ResultCode::kSettingsWrongType, expected);
+    AddProblem(key, ResultCode::kSettingsWrongType, expected);
     return {};
   }
   if (empty && need == Need::kRequired)
-    Note(key, ResultCode::kSettingsOutOfRange, "at least one table");
+    AddProblem(key, ResultCode::kSettingsOutOfRange, "at least one table");
   std::vector<TableReader> readers;
   for (const toml::node& item : *array) {
     readers.emplace_back(item.as_table(),
@@ -163,18 +166,18 @@
   return readers;
 }
 
-void TableReader::CheckUnknownKeys() {
+void TableReader::AddUnknownKeyProblems() {
   if (!table_)
     return;
   for (const auto& [key, node] : *table_) {
-    if (!known_.contains(key.str()))
-      Note(key.str(), ResultCode::kSettingsUnknownKey, "no such key");
+    if (!read_keys_.contains(key.str()))
+      AddProblem(key.str(), ResultCode::kSettingsUnknownKey, "no such key");
   }
 }
 
-void TableReader::Note(std::string_view key,
-                       ResultCode code,
-                       std::string expected) {
+void TableReader::AddProblem(std::string_view key,
+                             ResultCode code,
+                             std::string expected) {
   const toml::node* node = table_ ? table_->get(key) : nullptr;
   const std::string full_key =
       name_.empty() ? std::string(key) : fmt::format("{}.{}", name_, key);
@@ -182,33 +185,33 @@
                         full_key, code, std::move(expected)});
 }
 
-const toml::node* TableReader::Find(std::string_view key) {
-  known_.emplace(key);
+const toml::node* TableReader::FindNode(std::string_view key) {
+  read_keys_.emplace(key);
   return table_ ? table_->get(key) : nullptr;
 }
 
-void TableReader::NoteMissing(std::string_view key,
-                              Need need,
-                              std::string expected) {
+void TableReader::AddMissingKeyProblem(std::string_view key,
+                                       Need need,
+                                       std::string expected) {
   if (need == Need::kRequired)
-    Note(key, ResultCode::kSettingsMissingKey, std::move(expected));
+    AddProblem(key, ResultCode::kSettingsMissingKey, std::move(expected));
 }
 
-std::optional<std::string> TableReader::TextOf(std::string_view key,
-                                               Need need,
-                                               std::string expected) {
-  const toml::node* node = Find(key);
+std::optional<std::string> TableReader::ReadNonEmptyText(std::string_view key,
+                                                         Need need,
+                                                         std::string expected) {
+  const toml::node* node = FindNode(key);
   if (!node) {
-    NoteMissing(key, need, std::move(expected));
+    AddMissingKeyProblem(key, need, std::move(expected));
     return std::nullopt;
   }
   if (!node->is_string()) {
-    Note(key, ResultCode::kSettingsWrongType, std::move(expected));
+    AddProblem(key, ResultCode::kSettingsWrongType, std::move(expected));
     return std::nullopt;
   }
   if (!node->as_string()->get().empty())
     return node->as_string()->get();
-  Note(key, ResultCode::kSettingsOutOfRange, std::move(expected));
+  AddProblem(key, ResultCode::kSettingsOutOfRange, std::move(expected));
   return std::nullopt;
 }
 
--- a/settings/tests/object_json_test.cc
+++ b/settings/tests/object_json_test.cc
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-// Fails when a field is lost or changed on its way to the daemon.
+// Guards against a field that is lost or changed by encoding and decoding.
 TEST_CASE("Objects of every kind have the same JSON after a round trip",
           "[settings]") {
   const std::string text =
@@ -53,7 +53,7 @@
   CHECK(errors == kNoErrors);
 }
 
-// Fails when an operator has to correct a file one error at a time.
+// Guards against reporting only the first error of a change.
 TEST_CASE("All field errors of a change are listed", "[settings]") {
   Errors errors;
   ParseChange(R"({"base_revision":"x","objects":[3,{"name":"a"},
