--- a/types/src/result_code.cc
+++ b/types/src/result_code.cc
@@ -8,7 +8,7 @@
 
 using enum ResultCode;
 
-constexpr std::array kTable = {
+constexpr std::array kResultCodes = {
     ResultCodeInfo{kOk, "ok", Outcome::kDone, 200, "The request ran."},
     ResultCodeInfo{kMalformedRequest, "malformed_request", Outcome::kNotRun,
                    400, "The request is not valid HTTP or JSON."},
@@ -120,27 +120,28 @@
                    "missing."},
 };
 
-constexpr auto kNumberOf = [](const ResultCodeInfo& info) {
+constexpr auto kToCodeNumber = [](const ResultCodeInfo& info) {
   return static_cast<int>(info.code);
 };
 
 }  // namespace
 
 std::span<const ResultCodeInfo> AllResultCodes() {
-  return kTable;
+  return kResultCodes;
 }
 
 const ResultCodeInfo& InfoOf(ResultCode code) {
-  const auto* it =
-      std::ranges::lower_bound(kTable, static_cast<int>(code), {}, kNumberOf);
-  if (it == kTable.end() || it->code != code)
+  const auto* it = std::ranges::lower_bound(
+      kResultCodes, static_cast<int>(code), {}, kToCodeNumber);
+  if (it == kResultCodes.end() || it->code != code)
     return InfoOf(kOutcomeUnknown);
   return *it;
 }
 
 ResultCode ResultCodeFromNumber(int number) {
-  const auto* it = std::ranges::lower_bound(kTable, number, {}, kNumberOf);
-  if (it == kTable.end() || kNumberOf(*it) != number)
+  const auto* it =
+      std::ranges::lower_bound(kResultCodes, number, {}, kToCodeNumber);
+  if (it == kResultCodes.end() || kToCodeNumber(*it) != number)
     return kOutcomeUnknown;
   return it->code;
 }
--- a/types/tests/digest_test.cc
+++ b/types/tests/digest_test.cc
@@ -9,7 +9,8 @@
         "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad");
 }
 
-TEST_CASE("Text that is not hexadecimal decodes to nothing", "[types]") {
+TEST_CASE("Text that is not hexadecimal decodes to an empty string",
+          "[types]") {
   CHECK(FromHex("0g").empty());
   CHECK(FromHex("abc").empty());
   CHECK(FromHex("6162") == "ab");
