--- a/messages/src/codec.cc
+++ b/messages/src/codec.cc
@@ -14,12 +14,12 @@
 using apache::thrift::protocol::TCompactProtocolT;
 using apache::thrift::transport::TMemoryBuffer;
 
-// Deepest nesting of goldcrest.thrift is 6; bounds the stack that hostile
-// bytes can use.
-constexpr int kMaxNesting = 16;
+// Limits the stack depth that untrusted input can cause. The deepest nesting in
+// goldcrest.thrift is 6.
+constexpr int kMaxNestingDepth = 16;
 
 template <typename Message>
-std::string EncodeAny(const Message& message) {
+std::string EncodeCompact(const Message& message) {
   auto buffer = std::make_shared<TMemoryBuffer>();
   TCompactProtocolT<TMemoryBuffer> protocol(buffer);
   message.write(&protocol);
@@ -27,14 +27,15 @@
 }
 
 template <typename Message>
-std::optional<Message> DecodeAny(std::string_view bytes,
-                                 std::size_t max_bytes = kMaxEncodedBytes) {
+std::optional<Message> DecodeCompact(std::string_view bytes,
+                                     std::size_t max_bytes = kMaxEncodedBytes) {
   if (bytes.size() > max_bytes)
     return std::nullopt;
   // TMemoryBuffer takes a mutable pointer but only reads in OBSERVE mode.
   auto* data = reinterpret_cast<std::uint8_t*>(const_cast<char*>(bytes.data()));
   auto configuration = std::make_shared<TConfiguration>(
-      static_cast<int>(max_bytes), static_cast<int>(max_bytes), kMaxNesting);
+      static_cast<int>(max_bytes), static_cast<int>(max_bytes),
+      kMaxNestingDepth);
   auto buffer = std::make_shared<TMemoryBuffer>(
       data, static_cast<std::uint32_t>(bytes.size()), TMemoryBuffer::OBSERVE,
       configuration);
@@ -53,55 +54,55 @@
 }  // namespace
 
 std::string Encode(const PeerMessage& message) {
-  return EncodeAny(message);
+  return EncodeCompact(message);
 }
 
 std::string Encode(const Command& command) {
-  return EncodeAny(command);
+  return EncodeCompact(command);
 }
 
 std::string Encode(const ControlSnapshot& snapshot) {
-  return EncodeAny(snapshot);
+  return EncodeCompact(snapshot);
 }
 
 std::string Encode(const Change& change) {
-  return EncodeAny(change);
+  return EncodeCompact(change);
 }
 
 std::string Encode(const FleetCommand& command) {
-  return EncodeAny(command);
+  return EncodeCompact(command);
 }
 
 std::string Encode(const FleetSnapshot& snapshot) {
-  return EncodeAny(snapshot);
+  return EncodeCompact(snapshot);
 }
 
 std::string Encode(const LogEntry& entry) {
-  return EncodeAny(entry);
+  return EncodeCompact(entry);
 }
 
 std::optional<PeerMessage> DecodePeerMessage(std::string_view bytes) {
-  return DecodeAny<PeerMessage>(bytes);
+  return DecodeCompact<PeerMessage>(bytes);
 }
 
 std::optional<Command> DecodeCommand(std::string_view bytes) {
-  return DecodeAny<Command>(bytes);
+  return DecodeCompact<Command>(bytes);
 }
 
 std::optional<ControlSnapshot> DecodeControlSnapshot(std::string_view bytes) {
-  return DecodeAny<ControlSnapshot>(bytes, kMaxSnapshotBytes);
+  return DecodeCompact<ControlSnapshot>(bytes, kMaxSnapshotBytes);
 }
 
 std::optional<FleetCommand> DecodeFleetCommand(std::string_view bytes) {
-  return DecodeAny<FleetCommand>(bytes);
+  return DecodeCompact<FleetCommand>(bytes);
 }
 
 std::optional<FleetSnapshot> DecodeFleetSnapshot(std::string_view bytes) {
-  return DecodeAny<FleetSnapshot>(bytes, kMaxSnapshotBytes);
+  return DecodeCompact<FleetSnapshot>(bytes, kMaxSnapshotBytes);
 }
 
 std::optional<LogEntry> DecodeLogEntry(std::string_view bytes) {
-  return DecodeAny<LogEntry>(bytes);
+  return DecodeCompact<LogEntry>(bytes);
 }
 
 }  // namespace goldcrest::messages
--- a/messages/tests/codec_test.cc
+++ b/messages/tests/codec_test.cc
@@ -18,14 +18,14 @@
 
 }  // namespace
 
-TEST_CASE("A message decodes to what was encoded", "[messages]") {
+TEST_CASE("A decoded message equals the encoded one", "[messages]") {
   const PeerMessage sample = SampleMessage();
   const auto decoded = DecodePeerMessage(Encode(sample));
   REQUIRE(decoded.has_value());
   CHECK(*decoded == sample);
 }
 
-TEST_CASE("Bytes that are cut short or run on are refused", "[messages]") {
+TEST_CASE("Truncated messages and trailing bytes are rejected", "[messages]") {
   const std::string bytes = Encode(SampleMessage());
   for (std::size_t size = 0; size < bytes.size(); ++size) {
     CAPTURE(size);
@@ -36,8 +36,8 @@
 
 TEST_CASE("A snapshot larger than the largest message can be read",
           "[messages]") {
-  // Guards against a control member that writes a snapshot and can't start
-  // from it.
+  // Guards against a control member that writes a snapshot which it can't read
+  // at its next start.
   ControlSnapshot snapshot;
   snapshot.session_secret = std::string(kMaxEncodedBytes + 1, 's');
   const auto decoded = DecodeControlSnapshot(Encode(snapshot));
