--- a/programs/goldcrestctl/internal/object_diff.h
+++ b/programs/goldcrestctl/internal/object_diff.h
@@ -8,9 +8,9 @@
 
 namespace goldcrest::ctl {
 
-//! What applying `wanted` would change in `current`, one line per change, as
-//! "+ quota gold", "- key van-1" or "~ quota gold: rate 5 -> 7". Objects that
-//! are only in `current` stay as they are.
+//! Lists the changes that applying `wanted` to `current` would make, one line
+//! per change: "+ quota gold", "- key van-1" or "~ quota gold: rate 5 -> 7".
+//! Objects that are only in `current` would not change.
 std::vector<std::string> DiffObjects(
     const std::vector<messages::Object>& current,
     const std::vector<messages::Object>& wanted);
--- a/programs/goldcrestctl/internal/object_file.h
+++ b/programs/goldcrestctl/internal/object_file.h
@@ -10,21 +10,21 @@
 
 namespace goldcrest::ctl {
 
-//! Configuration objects as operators write them: a TOML file with the arrays
-//! of tables [[customer]], [[key]], [[access]], [[quota]], [[endpoint]] and
-//! [[objective]].
+//! The configuration objects of a TOML file that operators edit. It has the
+//! arrays of tables [[customer]], [[key]], [[access]], [[quota]], [[endpoint]]
+//! and [[objective]].
 struct ObjectFile {
-  //! The revision that the file was written on, if it says so.
+  //! The configuration revision on which the file is based, if it names one.
   std::optional<std::int64_t> base_revision;
   std::vector<messages::Object> objects;
 };
 
-//! Appends "path:line:quota[0].rate: expected ..." to `errors` for each fault;
-//! the result is to be used only when there is none.
+//! Reads an object file. Appends "path:line:quota[0].rate: expected ..." to
+//! `errors` for each error; the result is valid only if there is none.
 ObjectFile ReadObjectFile(const std::string& path,
                           std::vector<std::string>* errors);
 
-//! The text of such a file.
+//! The TOML text of an object file.
 std::string WriteObjectFile(const ObjectFile& file);
 
 }  // namespace goldcrest::ctl
--- a/programs/goldcrestctl/internal/operator_client.h
+++ b/programs/goldcrestctl/internal/operator_client.h
@@ -11,16 +11,17 @@
 
 namespace goldcrest::ctl {
 
-//! Calls the operator interface of the first daemon that answers.
+//! Client of the operator interface; uses the first daemon that answers.
 class OperatorClient {
  public:
   OperatorClient(std::vector<settings::Address> servers,
                  std::string token,
                  std::chrono::milliseconds timeout);
 
-  //! Sends `call` to each server, up to three times in turn, until one answers.
-  //! A call must be safe to repeat: reads are, and changes carry a change id.
-  //! Nullopt when none answers; a change may have been made then.
+  //! Sends `call` to one server after another, in up to three rounds, until one
+  //! answers. The call must be safe to repeat: a read, or a change with a
+  //! change id. Nullopt if no server answers; a change may have taken effect
+  //! even then.
   std::optional<settings::HttpAnswer> Send(settings::HttpCall call) const;
 
  private:
--- a/programs/goldcrestctl/internal/pretty_json.h
+++ b/programs/goldcrestctl/internal/pretty_json.h
@@ -7,7 +7,7 @@
 
 namespace goldcrest::ctl {
 
-//! `value` with one field or element per line.
+//! Serializes `value` with one field or element per line.
 std::string PrettyJson(const boost::json::value& value);
 
 }  // namespace goldcrest::ctl
--- a/programs/goldcrestctl/src/commands.cc
+++ b/programs/goldcrestctl/src/commands.cc
@@ -75,7 +75,7 @@
 constexpr std::size_t kKeyBytes = 32;
 constexpr std::size_t kChangeIdBytes = 16;
 
-// Thrown for faults of the command line or the files it names.
+// Thrown for invalid arguments and for unreadable files that they name.
 class UsageError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -85,7 +85,7 @@
   std::string bytes(size, '\0');
   if (RAND_bytes(reinterpret_cast<unsigned char*>(bytes.data()),
                  static_cast<int>(size)) != 1)
-    throw std::runtime_error("no random numbers are available");
+    throw std::runtime_error("OpenSSL could not generate random bytes");
   return ToHex(bytes);
 }
 
@@ -116,8 +116,9 @@
   return name ? name : fmt::format("uid-{}", getuid());
 }
 
-std::string Target(std::initializer_list<std::string_view> path,
-                   const std::map<std::string, std::string>& parameters = {}) {
+std::string RequestTarget(
+    std::initializer_list<std::string_view> path,
+    const std::map<std::string, std::string>& parameters = {}) {
   boost::urls::url url;
   url.set_path_absolute(true);
   for (const std::string_view segment : path)
@@ -127,56 +128,57 @@
   return std::string(url.buffer());
 }
 
-//! One run of the tool.
-class Session {
+//! Runs one command of goldcrestctl.
+class CommandRunner {
  public:
-  Session(std::map<std::string, docopt::value> arguments,
-          std::ostream& out,
-          std::ostream& err)
+  CommandRunner(std::map<std::string, docopt::value> arguments,
+                std::ostream& out,
+                std::ostream& err)
       : arguments_(std::move(arguments)), out_(out), err_(err) {}
 
   int Run() {
-    if (Given("check"))
+    if (IsSet("check"))
       return Check();
     Connect();
-    if (Given("apply"))
+    if (IsSet("apply"))
       return Apply();
-    if (Given("get"))
+    if (IsSet("get"))
       return Get();
-    if (Given("diff"))
+    if (IsSet("diff"))
       return Diff();
-    if (Given("issue"))
+    if (IsSet("issue"))
       return IssueKey();
-    if (Given("withdraw"))
+    if (IsSet("withdraw"))
       return WithdrawKey();
-    if (Given("members"))
+    if (IsSet("members"))
       return SetMembers();
-    if (Given("drain"))
-      return Print(
-          {"POST", "/v1/drain",
-           json::serialize(json::value{{"instance", Text("INSTANCE")}})});
-    if (Given("explain"))
-      return Print(
-          {"GET", Target({"v1", "explain"}, {{"subject", Text("SUBJECT")}})});
+    if (IsSet("drain"))
+      return CallAndPrint({"POST", "/v1/drain",
+                           json::serialize(json::value{
+                               {"instance", StringArgument("INSTANCE")}})});
+    if (IsSet("explain"))
+      return CallAndPrint(
+          {"GET", RequestTarget({"v1", "explain"},
+                                {{"subject", StringArgument("SUBJECT")}})});
     for (const char* name : {"status", "journal"}) {
-      if (Given(name))
-        return Print({"GET", Target({"v1", name})});
+      if (IsSet(name))
+        return CallAndPrint({"GET", RequestTarget({"v1", name})});
     }
     return kExitUsage;
   }
 
  private:
-  bool Given(const std::string& name) const {
+  bool IsSet(const std::string& name) const {
     return arguments_.at(name).asBool();
   }
-  bool Has(const std::string& name) const {
+  bool HasValue(const std::string& name) const {
     return arguments_.at(name).isString();
   }
-  std::string Text(const std::string& name) const {
+  std::string StringArgument(const std::string& name) const {
     return arguments_.at(name).asString();
   }
-  std::int64_t Number(const std::string& name) const {
-    const std::string text = Text(name);
+  std::int64_t NumberArgument(const std::string& name) const {
+    const std::string text = StringArgument(name);
     std::int64_t number = 0;
     const char* end = text.data() + text.size();
     const auto parsed = std::from_chars(text.data(), end, number);
@@ -191,24 +193,26 @@
       servers.push_back(ParseServer(server));
     if (servers.empty())
       servers.push_back({"127.0.0.1", 8090});
-    client_.emplace(std::move(servers), ReadToken(Text("--token-file")),
-                    std::chrono::milliseconds(Number("--timeout-ms")));
+    client_.emplace(std::move(servers),
+                    ReadToken(StringArgument("--token-file")),
+                    std::chrono::milliseconds(NumberArgument("--timeout-ms")));
   }
 
   int Check() {
-    const auto problems = settings::CheckSettings(Text("FILE"));
+    const auto problems = settings::CheckSettings(StringArgument("FILE"));
     for (const settings::Problem& problem : problems)
       out_ << settings::ToString(problem) << "\n";
     return problems.empty() ? kExitOk : kExitRefused;
   }
 
-  //! The answer's body; nullopt after a message to the operator, with `exit_`
-  //! set. A refusal is left to Conclude.
+  //! Sends `call` and returns the body of the answer. Without a valid answer,
+  //! prints the error, sets `exit_code_` and returns nullopt. A refusal is a
+  //! valid answer; ReportResult() prints it.
   std::optional<json::object> Send(HttpCall call) {
     const auto answer = client_->Send(std::move(call));
     if (!answer) {
       err_ << "no server answers\n";
-      exit_ = kExitNoAnswer;
+      exit_code_ = kExitNoAnswer;
       return std::nullopt;
     }
     boost::system::error_code error;
@@ -217,13 +221,13 @@
       return std::move(body.get_object());
     err_ << "the server's answer is not JSON (HTTP status " << answer->status
          << ")\n";
-    exit_ = kExitRefused;
+    exit_code_ = kExitRefused;
     return std::nullopt;
   }
 
-  //! Prints the result of a call, if the answer has one, and gives the exit
+  //! Prints the result in the answer unless it is a success; returns the exit
   //! code.
-  int Conclude(const json::object& body) {
+  int ReportResult(const json::object& body) {
     const json::value* value = body.if_contains("result");
     const json::object* result = value ? value->if_object() : nullptr;
     if (!result)
@@ -232,35 +236,36 @@
     if (code && code->is_int64() && code->get_int64() == 0)
       return kExitOk;
     err_ << "refused: " << json::serialize(*result) << "\n";
-    PrintMissing(body);
+    PrintMissingInstances(body);
     return kExitRefused;
   }
 
-  void PrintMissing(const json::object& body) {
+  void PrintMissingInstances(const json::object& body) {
     const json::value* missing = body.if_contains("missing");
     if (missing && missing->is_array() && !missing->get_array().empty())
       err_ << "not yet in force at: " << json::serialize(*missing) << "\n";
   }
 
-  int Print(HttpCall call) {
+  int CallAndPrint(HttpCall call) {
     const auto body = Send(std::move(call));
     if (!body)
-      return exit_;
-    const int exit = Conclude(*body);
+      return exit_code_;
+    const int exit = ReportResult(*body);
     if (exit == kExitOk)
       out_ << PrettyJson(*body) << "\n";
     return exit;
   }
 
-  //! The objects that the server has; nullopt with `exit_` set.
-  std::optional<ObjectFile> Fetch(
+  //! Requests the server's objects; on an error, prints it, sets `exit_code_`
+  //! and returns nullopt.
+  std::optional<ObjectFile> FetchObjects(
       const std::map<std::string, std::string>& parameters) {
     const auto body =
-        Send({"GET", Target({"v1", "objects"}, parameters), "", {}});
+        Send({"GET", RequestTarget({"v1", "objects"}, parameters), "", {}});
     if (!body)
       return std::nullopt;
-    exit_ = Conclude(*body);
-    if (exit_ != kExitOk)
+    exit_code_ = ReportResult(*body);
+    if (exit_code_ != kExitOk)
       return std::nullopt;
     ObjectFile file;
     std::vector<std::string> errors;
@@ -276,52 +281,53 @@
       return file;
     for (const std::string& error : errors)
       err_ << "in the server's answer: " << error << "\n";
-    exit_ = kExitRefused;
+    exit_code_ = kExitRefused;
     return std::nullopt;
   }
 
   std::optional<ObjectFile> ReadFile() {
     std::vector<std::string> errors;
-    ObjectFile file = ReadObjectFile(Text("FILE"), &errors);
+    ObjectFile file = ReadObjectFile(StringArgument("FILE"), &errors);
     for (const std::string& error : errors)
       err_ << error << "\n";
-    exit_ = kExitRefused;
+    exit_code_ = kExitRefused;
     return errors.empty() ? std::optional(std::move(file)) : std::nullopt;
   }
 
   int Apply() {
     auto file = ReadFile();
     if (!file)
-      return exit_;
-    if (Has("--base-revision"))
-      file->base_revision = Number("--base-revision");
+      return exit_code_;
+    if (HasValue("--base-revision"))
+      file->base_revision = NumberArgument("--base-revision");
     if (!file->base_revision) {
-      const auto current = Fetch({});
+      const auto current = FetchObjects({});
       if (!current)
-        return exit_;
+        return exit_code_;
       file->base_revision = current->base_revision;
     }
     messages::Change change;
-    change.change_id =
-        Has("--change-id") ? Text("--change-id") : RandomHex(kChangeIdBytes);
+    change.change_id = HasValue("--change-id") ? StringArgument("--change-id")
+                                               : RandomHex(kChangeIdBytes);
     change.base_revision = *file->base_revision;
-    change.author = Has("--author") ? Text("--author") : UserName();
+    change.author =
+        HasValue("--author") ? StringArgument("--author") : UserName();
     change.objects = file->objects;
     std::map<std::string, std::string> parameters;
-    if (Given("--dry-run"))
+    if (IsSet("--dry-run"))
       parameters.emplace("dry_run", "1");
     const auto body = Send({"POST",
-                            Target({"v1", "changes"}, parameters),
+                            RequestTarget({"v1", "changes"}, parameters),
                             settings::ToJson(change),
                             {}});
     if (!body) {
-      if (exit_ == kExitNoAnswer)
+      if (exit_code_ == kExitNoAnswer)
         err_ << "the outcome is unknown; resend with --change-id="
              << change.change_id << " --base-revision=" << change.base_revision
              << "\n";
-      return exit_;
+      return exit_code_;
     }
-    const int exit = Conclude(*body);
+    const int exit = ReportResult(*body);
     if (exit == kExitOk)
       out_ << PrettyJson(*body) << "\n";
     return exit;
@@ -329,23 +335,23 @@
 
   int Get() {
     std::map<std::string, std::string> parameters;
-    if (Has("KIND"))
-      parameters["kind"] = Text("KIND");
-    if (Has("NAME"))
-      parameters["name"] = Text("NAME");
-    const auto file = Fetch(parameters);
+    if (HasValue("KIND"))
+      parameters["kind"] = StringArgument("KIND");
+    if (HasValue("NAME"))
+      parameters["name"] = StringArgument("NAME");
+    const auto file = FetchObjects(parameters);
     if (file)
       out_ << WriteObjectFile(*file);
-    return exit_;
+    return exit_code_;
   }
 
   int Diff() {
     const auto file = ReadFile();
     if (!file)
-      return exit_;
-    const auto current = Fetch({});
+      return exit_code_;
+    const auto current = FetchObjects({});
     if (!current)
-      return exit_;
+      return exit_code_;
     for (const std::string& line : DiffObjects(current->objects, file->objects))
       out_ << line << "\n";
     return kExitOk;
@@ -357,24 +363,25 @@
         {"POST",
          "/v1/keys",
          json::serialize(json::value{{"change_id", RandomHex(kChangeIdBytes)},
-                                     {"customer", Text("CUSTOMER")},
-                                     {"name", Text("NAME")},
+                                     {"customer", StringArgument("CUSTOMER")},
+                                     {"name", StringArgument("NAME")},
                                      {"digest", ToHex(Sha256(key))}}),
          {}});
     if (!body) {
-      if (exit_ == kExitNoAnswer)
+      if (exit_code_ == kExitNoAnswer)
         err_ << "the outcome is unknown; withdraw the key before issuing it "
                 "again\n";
-      return exit_;
+      return exit_code_;
     }
-    const int exit = Conclude(*body);
-    // A key that is logged but not yet in force everywhere is issued as well.
-    if (exit == kExitOk || MayHaveRun(*body))
+    const int exit = ReportResult(*body);
+    // A key that is in the log, but not yet in force on all instances, is
+    // issued as well, and so is printed.
+    if (exit == kExitOk || MayHaveTakenEffect(*body))
       out_ << key << "\n";
     return exit;
   }
 
-  static bool MayHaveRun(const json::object& body) {
+  static bool MayHaveTakenEffect(const json::object& body) {
     const json::value* outcome = nullptr;
     if (const json::value* result = body.if_contains("result"))
       outcome = result->is_object()
@@ -385,18 +392,19 @@
   }
 
   int WithdrawKey() {
-    return Print({"DELETE",
-                  Target({"v1", "keys", Text("NAME")},
-                         {{"change_id", RandomHex(kChangeIdBytes)}}),
-                  "",
-                  {}});
+    return CallAndPrint(
+        {"DELETE",
+         RequestTarget({"v1", "keys", StringArgument("NAME")},
+                       {{"change_id", RandomHex(kChangeIdBytes)}}),
+         "",
+         {}});
   }
 
   int SetMembers() {
     json::array members;
     for (const std::string& member : arguments_.at("MEMBER").asStringList())
       members.emplace_back(member);
-    return Print(
+    return CallAndPrint(
         {"POST", "/v1/members",
          json::serialize(json::value{{"members", std::move(members)}})});
   }
@@ -405,7 +413,7 @@
   std::ostream& out_;
   std::ostream& err_;
   std::optional<OperatorClient> client_;
-  int exit_ = kExitOk;
+  int exit_code_ = kExitOk;
 };
 
 }  // namespace
@@ -414,8 +422,8 @@
                std::ostream& out,
                std::ostream& err) {
   try {
-    return Session(docopt::docopt_parse(kUsage, arguments, true, true), out,
-                   err)
+    return CommandRunner(docopt::docopt_parse(kUsage, arguments, true, true),
+                         out, err)
         .Run();
   } catch (const docopt::DocoptExitHelp&) {
     out << kUsage;
--- a/programs/goldcrestctl/src/object_diff.cc
+++ b/programs/goldcrestctl/src/object_diff.cc
@@ -17,16 +17,16 @@
 namespace json = boost::json;
 using messages::Object;
 
-std::string IdOf(const Object& object) {
+std::string KindAndName(const Object& object) {
   return fmt::format("{} {}", settings::ToText(object.kind), object.name);
 }
 
-json::object FieldsOf(Object object) {
+json::object ToJsonFields(Object object) {
   object.revision = 0;
   return json::parse(settings::ToJson(object)).as_object();
 }
 
-std::string TextAt(const json::object& fields, std::string_view name) {
+std::string FieldText(const json::object& fields, std::string_view name) {
   const json::value* value = fields.if_contains(name);
   return value ? json::serialize(*value) : "(none)";
 }
@@ -39,8 +39,8 @@
   for (const auto& [name, value] : after)
     names[name] = value;
   for (const auto& [name, unused] : names) {
-    const std::string old_text = TextAt(before, name);
-    const std::string new_text = TextAt(after, name);
+    const std::string old_text = FieldText(before, name);
+    const std::string new_text = FieldText(after, name);
     if (old_text != new_text)
       lines.push_back(fmt::format("~ {}: {} {} -> {}", id,
                                   std::string_view(name), old_text, new_text));
@@ -54,11 +54,11 @@
   std::map<std::string, Object> existing;
   for (const Object& object : current) {
     if (!object.deleted)
-      existing[IdOf(object)] = object;
+      existing[KindAndName(object)] = object;
   }
   std::vector<std::string> lines;
   for (const Object& object : wanted) {
-    const std::string id = IdOf(object);
+    const std::string id = KindAndName(object);
     const auto it = existing.find(id);
     if (it == existing.end()) {
       if (!object.deleted)
@@ -66,7 +66,7 @@
     } else if (object.deleted) {
       lines.push_back("- " + id);
     } else {
-      DiffFields(id, FieldsOf(it->second), FieldsOf(object), lines);
+      DiffFields(id, ToJsonFields(it->second), ToJsonFields(object), lines);
     }
   }
   return lines;
--- a/programs/goldcrestctl/src/object_file.cc
+++ b/programs/goldcrestctl/src/object_file.cc
@@ -15,11 +15,11 @@
 namespace goldcrest::ctl {
 namespace {
 
-constexpr std::string_view kBaseRevision = "base_revision";
+constexpr std::string_view kBaseRevisionKey = "base_revision";
 
-class Reader {
+class ObjectFileReader {
  public:
-  Reader(std::string path, std::vector<std::string>* errors)
+  ObjectFileReader(std::string path, std::vector<std::string>* errors)
       : path_(std::move(path)), errors_(errors) {}
 
   ObjectFile Read() {
@@ -43,20 +43,21 @@
     try {
       table = toml::parse_file(path_);
     } catch (const toml::parse_error& error) {
-      Note(error.source().begin.line,
-           " expected valid TOML: " + std::string(error.description()));
+      AddFault(error.source().begin.line,
+               " expected valid TOML: " + std::string(error.description()));
       return file;
     }
     for (const auto& [key, node] : table) {
-      if (key.str() == kBaseRevision && node.is_integer())
+      if (key.str() == kBaseRevisionKey && node.is_integer())
         file.base_revision = node.as_integer()->get();
       else if (IsKind(key.str()) && node.is_array_of_tables())
         ReadObjects(key.str(), *node.as_array(), file.objects);
       else
-        Note(node.source().begin.line,
-             std::string(key.str()) +
-                 ": expected base_revision = N or tables of objects, such as "
-                 "[[quota]]");
+        AddFault(
+            node.source().begin.line,
+            std::string(key.str()) +
+                ": expected base_revision = N or tables of objects, such as "
+                "[[quota]]");
     }
     return file;
   }
@@ -85,13 +86,13 @@
       for (const std::string& fault : faults) {
         const toml::node* field = table.get(fault.substr(0, fault.find(':')));
         const auto& source = field ? field->source() : table.source();
-        Note(source.begin.line, fmt::format("{}[{}].{}", kind, i, fault));
+        AddFault(source.begin.line, fmt::format("{}[{}].{}", kind, i, fault));
       }
       objects.insert(objects.end(), read.begin(), read.end());
     }
   }
 
-  void Note(std::uint32_t line, std::string text) {
+  void AddFault(std::uint32_t line, std::string text) {
     faults_.push_back({line, std::move(text)});
   }
 
@@ -100,8 +101,8 @@
   std::vector<Fault> faults_;
 };
 
-// The fields of a JSON object, without `kind`, which the file says by the name
-// of the table.
+// The fields of a JSON object except `kind`, which the name of the TOML table
+// gives.
 toml::table ToTable(const boost::json::object& object) {
   toml::table table;
   for (const auto& [name, value] : object) {
@@ -129,13 +130,13 @@
 
 ObjectFile ReadObjectFile(const std::string& path,
                           std::vector<std::string>* errors) {
-  return Reader(path, errors).Read();
+  return ObjectFileReader(path, errors).Read();
 }
 
 std::string WriteObjectFile(const ObjectFile& file) {
   toml::table table;
   for (messages::Object object : file.objects) {
-    object.revision = 0;  // of the whole file, written as base_revision
+    object.revision = 0;  // the file has one revision, base_revision
     const std::string_view kind = settings::ToText(object.kind);
     const auto value = boost::json::parse(settings::ToJson(object));
     auto& tables = *table.insert(kind, toml::array()).first->second.as_array();
@@ -143,7 +144,7 @@
   }
   std::ostringstream text;
   if (file.base_revision)
-    text << kBaseRevision << " = " << *file.base_revision << "\n\n";
+    text << kBaseRevisionKey << " = " << *file.base_revision << "\n\n";
   text << table << "\n";
   return text.str();
 }
--- a/programs/goldcrestctl/src/operator_client.cc
+++ b/programs/goldcrestctl/src/operator_client.cc
@@ -6,8 +6,8 @@
 namespace goldcrest::ctl {
 namespace {
 
-constexpr int kRounds = 3;
-// Lets a daemon that is restarting come up.
+constexpr int kMaxRounds = 3;
+// Gives a restarting daemon time to accept connections.
 constexpr std::chrono::milliseconds kPauseBetweenRounds{200};
 
 }  // namespace
@@ -22,7 +22,7 @@
 std::optional<settings::HttpAnswer> OperatorClient::Send(
     settings::HttpCall call) const {
   call.headers["Authorization"] = "Bearer " + token_;
-  for (int round = 0; round < kRounds; ++round) {
+  for (int round = 0; round < kMaxRounds; ++round) {
     if (round > 0)
       std::this_thread::sleep_for(kPauseBetweenRounds);
     for (const settings::Address& server : servers_) {
--- a/programs/goldcrestctl/src/pretty_json.cc
+++ b/programs/goldcrestctl/src/pretty_json.cc
@@ -7,20 +7,20 @@
 namespace goldcrest::ctl {
 namespace {
 
-constexpr std::size_t kIndent = 2;
+constexpr std::size_t kIndentWidth = 2;
 
-// Recursion is bounded by the depth limit of the JSON parser, 32.
-void Print(const boost::json::value& value,
-           std::size_t indent,
-           std::string& text) {
-  const std::string line = "\n" + std::string(indent + kIndent, ' ');
+// The recursion depth is bounded by the JSON parser's depth limit of 32.
+void AppendJson(const boost::json::value& value,
+                std::size_t indent,
+                std::string& text) {
+  const std::string line = "\n" + std::string(indent + kIndentWidth, ' ');
   const std::string end = "\n" + std::string(indent, ' ');
   std::string separator = line;
   if (value.is_object() && !value.get_object().empty()) {
     text += "{";
     for (const auto& [name, field] : value.get_object()) {
       text += separator + boost::json::serialize(name) + ": ";
-      Print(field, indent + kIndent, text);
+      AppendJson(field, indent + kIndentWidth, text);
       separator = "," + line;
     }
     text += end + "}";
@@ -28,7 +28,7 @@
     text += "[";
     for (const auto& element : value.get_array()) {
       text += separator;
-      Print(element, indent + kIndent, text);
+      AppendJson(element, indent + kIndentWidth, text);
       separator = "," + line;
     }
     text += end + "]";
@@ -41,7 +41,7 @@
 
 std::string PrettyJson(const boost::json::value& value) {
   std::string text;
-  Print(value, 0, text);
+  AppendJson(value, 0, text);
   return text;
 }
 
--- a/programs/goldcrestctl/tests/commands_test.cc
+++ b/programs/goldcrestctl/tests/commands_test.cc
@@ -24,11 +24,11 @@
 using testing::HttpReply;
 using testing::HttpRequest;
 
-const std::string kData = GOLDCREST_TEST_DATA "/data/";
-constexpr const char* kOk =
+const std::string kDataFolder = GOLDCREST_TEST_DATA "/data/";
+constexpr const char* kOkBody =
     R"({"result":{"code":0,"name":"ok","outcome":"done","message":""}})";
 
-//! The operator listener of a daemon, with scripted answers.
+//! A daemon's operator interface that answers with a given function.
 class FakeDaemon {
  public:
   using Answer = std::function<HttpReply(const HttpRequest&)>;
@@ -72,7 +72,7 @@
   HttpListener listener_;
 };
 
-std::string Read(const std::string& path) {
+std::string ReadText(const std::string& path) {
   std::ifstream file(path);
   std::ostringstream text;
   text << file.rdbuf();
@@ -81,14 +81,15 @@
 
 }  // namespace
 
-// Fails when a lost answer leads to a second change.
+// Guards against making a change twice after its answer was lost: the server
+// recognizes the repeat by its change id.
 TEST_CASE("A change without an answer is resent with the same change id",
           "[ctl]") {
   int drops = 2;
   FakeDaemon daemon([&](const HttpRequest&) {
-    return HttpReply{.body = kOk, .drop = drops-- > 0};
+    return HttpReply{.body = kOkBody, .drop = drops-- > 0};
   });
-  CHECK(daemon.Run({"apply", kData + "objects.toml"}) == kExitOk);
+  CHECK(daemon.Run({"apply", kDataFolder + "objects.toml"}) == kExitOk);
   REQUIRE(daemon.request_count() == 3);
   CHECK(daemon.request(0).target == "/v1/changes");
   CHECK(daemon.request(0).body == daemon.request(2).body);
@@ -97,16 +98,17 @@
   CHECK(body.at("change_id").as_string().size() == 32);
 
   drops = 99;
-  CHECK(daemon.Run({"apply", kData + "objects.toml", "--change-id=c-1"}) ==
-        kExitNoAnswer);
+  CHECK(daemon.Run({"apply", kDataFolder + "objects.toml",
+                    "--change-id=c-1"}) == kExitNoAnswer);
   CHECK(daemon.err() ==
         "no server answers\nthe outcome is unknown; resend with "
         "--change-id=c-1 --base-revision=41\n");
 }
 
-// Fails when the text of a key leaves the operator's machine.
+// Guards against sending the text of a key to the server.
 TEST_CASE("Only the digest of an issued key is sent", "[ctl]") {
-  FakeDaemon daemon([](const HttpRequest&) { return HttpReply{.body = kOk}; });
+  FakeDaemon daemon(
+      [](const HttpRequest&) { return HttpReply{.body = kOkBody}; });
   CHECK(daemon.Run({"keys", "issue", "brasserie", "van-1"}) == kExitOk);
   const std::string key = daemon.out().substr(0, daemon.out().find('\n'));
   REQUIRE(key.size() == 64);
@@ -128,30 +130,32 @@
   CHECK(daemon.Run({"no-such-command"}) == kExitUsage);
 
   std::ostringstream out;
-  CHECK(RunCommand({"check", kData + "faulty.toml"}, out, out) == kExitRefused);
+  CHECK(RunCommand({"check", kDataFolder + "faulty.toml"}, out, out) ==
+        kExitRefused);
   CHECK(out.str().find("801 settings_unknown_key") != std::string::npos);
 }
 
-// Fails when what is read back can't be edited and applied.
-TEST_CASE("The objects got are a file that differs in nothing", "[ctl]") {
+// Guards against output of "get" that can't be edited and applied.
+TEST_CASE("The output of get is an object file without differences", "[ctl]") {
   FakeDaemon daemon([](const HttpRequest&) {
-    return HttpReply{.body = Read(kData + "objects.json")};
+    return HttpReply{.body = ReadText(kDataFolder + "objects.json")};
   });
   REQUIRE(daemon.Run({"get"}) == kExitOk);
-  CHECK(daemon.out() == Read(kData + "objects.approved.toml"));
-  REQUIRE(daemon.Run({"diff", kData + "objects.approved.toml"}) == kExitOk);
+  CHECK(daemon.out() == ReadText(kDataFolder + "objects.approved.toml"));
+  REQUIRE(daemon.Run({"diff", kDataFolder + "objects.approved.toml"}) ==
+          kExitOk);
   CHECK(daemon.out().empty());
-  REQUIRE(daemon.Run({"diff", kData + "objects.toml"}) == kExitOk);
-  CHECK(daemon.out() == Read(kData + "diff.approved.txt"));
+  REQUIRE(daemon.Run({"diff", kDataFolder + "objects.toml"}) == kExitOk);
+  CHECK(daemon.out() == ReadText(kDataFolder + "diff.approved.txt"));
 }
 
-TEST_CASE("All faults of an object file are listed with their lines", "[ctl]") {
+TEST_CASE("All errors of an object file are listed with their lines", "[ctl]") {
   FakeDaemon daemon([](const HttpRequest&) { return HttpReply{}; });
-  CHECK(daemon.Run({"apply", kData + "faulty.toml"}) == kExitRefused);
+  CHECK(daemon.Run({"apply", kDataFolder + "faulty.toml"}) == kExitRefused);
   std::string text = daemon.err();
-  for (std::size_t at = 0; (at = text.find(kData)) != std::string::npos;)
-    text.erase(at, kData.size());
-  CHECK(text == Read(kData + "faulty.approved.txt"));
+  for (std::size_t at = 0; (at = text.find(kDataFolder)) != std::string::npos;)
+    text.erase(at, kDataFolder.size());
+  CHECK(text == ReadText(kDataFolder + "faulty.approved.txt"));
   CHECK(daemon.request_count() == 0);
 }
 
--- a/programs/goldcrestd/announcement.cc
+++ b/programs/goldcrestd/announcement.cc
@@ -16,7 +16,7 @@
 
 constexpr std::size_t kMaxNameBytes = 63;
 
-std::string Hmac(const std::string& secret, const std::string& body) {
+std::string HexHmac(const std::string& secret, const std::string& body) {
   std::array<unsigned char, EVP_MAX_MD_SIZE> digest{};
   unsigned int size = 0;
   HMAC(EVP_sha256(), secret.data(), static_cast<int>(secret.size()),
@@ -56,10 +56,10 @@
   return announcement;
 }
 
-bool IsSigned(const std::string& secret,
-              const std::string& body,
-              std::string_view signature) {
-  const std::string expected = Hmac(secret, body);
+bool HasValidSignature(const std::string& secret,
+                       const std::string& body,
+                       std::string_view signature) {
+  const std::string expected = HexHmac(secret, body);
   return !secret.empty() && signature.size() == expected.size() &&
          CRYPTO_memcmp(signature.data(), expected.data(), expected.size()) == 0;
 }
--- a/programs/goldcrestd/announcement.h
+++ b/programs/goldcrestd/announcement.h
@@ -9,15 +9,15 @@
 
 namespace goldcrest {
 
-//! Reads the body of POST /v1/announce; nullopt when it is not valid.
+//! Parses the body of POST /v1/announce; nullopt if it is invalid.
 std::optional<messages::Announcement> ParseAnnouncement(
     const std::string& body);
 
-//! True when `signature` is the hexadecimal HMAC-SHA256 of `body` under
-//! `secret`. An empty secret signs nothing.
-bool IsSigned(const std::string& secret,
-              const std::string& body,
-              std::string_view signature);
+//! True if `signature` is the hexadecimal HMAC-SHA256 of `body` with the key
+//! `secret`. Always false if `secret` is empty.
+bool HasValidSignature(const std::string& secret,
+                       const std::string& body,
+                       std::string_view signature);
 
 }  // namespace goldcrest
 
--- a/programs/goldcrestd/caller_api.cc
+++ b/programs/goldcrestd/caller_api.cc
@@ -14,9 +14,9 @@
 constexpr std::int64_t kDefaultTimeoutMs = 5'000;
 constexpr std::int64_t kMaxTimeoutMs = 60'000;
 constexpr std::int64_t kMaxAgeMs = 86'400'000;
-constexpr std::string_view kBearer = "Bearer ";
+constexpr std::string_view kBearerPrefix = "Bearer ";
 
-void ReadExecuteFields(JsonObject& json, entry::CallerRequest* request) {
+void ParseExecuteFields(JsonObject& json, entry::CallerRequest* request) {
   request->statement = json.RequiredString("statement", kMaxStatementBytes);
   const std::string kind = json.RequiredString("kind", kMaxNameBytes);
   if (kind == "read")
@@ -36,9 +36,9 @@
 
 std::string BearerToken(const adapters::HttpRequest& http) {
   const std::string_view header = http.Header("Authorization");
-  if (!header.starts_with(kBearer))
+  if (!header.starts_with(kBearerPrefix))
     return {};
-  return std::string(header.substr(kBearer.size()));
+  return std::string(header.substr(kBearerPrefix.size()));
 }
 
 std::variant<entry::CallerRequest, adapters::HttpResponse> ParseCallerRequest(
@@ -64,7 +64,7 @@
       json.OptionalInteger("timeout_ms", 1, kMaxTimeoutMs)
           .value_or(kDefaultTimeoutMs));
   if (executes)
-    ReadExecuteFields(json, &request);
+    ParseExecuteFields(json, &request);
   else if (request.operation != Operation::BEGIN_WORK)
     request.transaction = json.RequiredString("transaction", kMaxNameBytes);
   const auto errors = json.Finish();
--- a/programs/goldcrestd/caller_api.h
+++ b/programs/goldcrestd/caller_api.h
@@ -8,14 +8,15 @@
 
 namespace goldcrest {
 
-//! Reads a caller's HTTP request; the response is a refusal. The key is
-//! replaced by its digest here and goes no further.
+//! Parses a caller's HTTP request; returns the error response if it is invalid.
+//! The result holds the SHA-256 digest of the caller's key, never the key.
 std::variant<entry::CallerRequest, adapters::HttpResponse> ParseCallerRequest(
     const adapters::HttpRequest& http);
 
 adapters::HttpResponse ToHttp(const entry::CallerAnswer& answer);
 
-//! The token of an "Authorization: Bearer TOKEN" header; empty without one.
+//! The token of the "Authorization: Bearer TOKEN" header; empty if the header
+//! is missing or has another scheme.
 std::string BearerToken(const adapters::HttpRequest& http);
 
 }  // namespace goldcrest
--- a/programs/goldcrestd/control_json.cc
+++ b/programs/goldcrestd/control_json.cc
@@ -9,7 +9,8 @@
 
 using adapters::JsonWriter;
 
-bool Concerns(const messages::JournalEntry& entry, const std::string& subject) {
+bool MentionsSubject(const messages::JournalEntry& entry,
+                     const std::string& subject) {
   if (subject.empty() || entry.subject == subject)
     return true;
   return std::ranges::any_of(entry.inputs, [&](const auto& input) {
@@ -85,7 +86,7 @@
   JsonWriter json;
   json.BeginObject().BeginArray("journal");
   for (const messages::JournalEntry& entry : state.journal()) {
-    if (!Concerns(entry, subject))
+    if (!MentionsSubject(entry, subject))
       continue;
     JsonWriter item;
     item.BeginObject()
--- a/programs/goldcrestd/control_json.h
+++ b/programs/goldcrestd/control_json.h
@@ -7,11 +7,12 @@
 
 namespace goldcrest {
 
-//! What the control leader knows of the fleet, as JSON.
+//! The control leader's view of the fleet (leader, members, instances, groups
+//! and endpoints) as JSON.
 std::string StatusJson(const entry::ControlNode& node, Time now);
 
-//! The journal's entries whose subject or inputs name `subject`; all entries
-//! if it is empty.
+//! The journal entries whose subject or inputs name `subject`, as JSON; all
+//! entries if `subject` is empty.
 std::string JournalJson(const control::ControlState& state,
                         const std::string& subject);
 
--- a/programs/goldcrestd/controller_service.cc
+++ b/programs/goldcrestd/controller_service.cc
@@ -19,24 +19,25 @@
 using fleet::ConfigurationResult;
 using std::chrono::milliseconds;
 
-constexpr Duration kTick = milliseconds(20);
+constexpr Duration kTickInterval = milliseconds(20);
 
-// Zones are some 11 ms apart and back, and a lost packet costs 200 ms: a leader
-// keeps its lease through one loss, and a new one follows within half a second.
-constexpr Duration kHeartbeat = milliseconds(75);
-constexpr Duration kElectionMin = milliseconds(300);
-constexpr Duration kElectionMax = milliseconds(550);
+// The round trip between availability zones takes some 11 ms, and a lost packet
+// delays a message by 200 ms. With these times a leader keeps its lease when
+// one packet is lost, and a failed leader is replaced within half a second.
+constexpr Duration kHeartbeatInterval = milliseconds(75);
+constexpr Duration kElectionTimeoutMin = milliseconds(300);
+constexpr Duration kElectionTimeoutMax = milliseconds(550);
 
-// A promotion that was not answered by then is sent again by the planner.
-constexpr Duration kPromotionDeadline = milliseconds(900);
+// The failover planner resends a promotion that was not answered in this time.
+constexpr Duration kPromotionTimeout = milliseconds(900);
 
-// Largest configuration that is taken.
-constexpr std::size_t kMaxBodyBytes = std::size_t{8} << 20U;
+constexpr std::size_t kMaxConfigurationBytes = std::size_t{8} << 20U;
 
-// Time for the successor to be elected and for answers to leave.
-constexpr Duration kHandOver = milliseconds(600);
+// Delay between the start of a planned stop and the exit of the process: a
+// successor is elected and pending answers are sent.
+constexpr Duration kLeadershipTransferTime = milliseconds(600);
 
-HttpResponse Refusal(int status, std::string_view message) {
+HttpResponse ErrorResponse(int status, std::string_view message) {
   adapters::JsonWriter json;
   json.BeginObject().Member("error", message).EndObject();
   HttpResponse response;
@@ -49,13 +50,13 @@
 
 ControllerService::ControllerService(boost::asio::io_context& context,
                                      const platform::BootSettings& settings,
-                                     storage::OpenedLog log,
-                                     PlatformLog& out)
+                                     storage::OpenedLog opened_log,
+                                     PlatformLog& log)
     : context_(context),
       settings_(settings),
-      out_(out),
+      log_(log),
       scheduler_(context),
-      store_(std::move(log.store)),
+      store_(std::move(opened_log.store)),
       prober_(context,
               scheduler_,
               [this](const std::string& group,
@@ -70,10 +71,10 @@
   platform_api_ = std::make_unique<adapters::HttpClient>(context_, api);
 
   fleet::ControllerOptions options;
-  options.replica.self = PeerName(settings_, kControllerOffset);
-  options.replica.heartbeat_interval = kHeartbeat;
-  options.replica.election_timeout_min = kElectionMin;
-  options.replica.election_timeout_max = kElectionMax;
+  options.replica.self = PeerName(settings_, kControllerPortOffset);
+  options.replica.heartbeat_interval = kHeartbeatInterval;
+  options.replica.election_timeout_min = kElectionTimeoutMin;
+  options.replica.election_timeout_max = kElectionTimeoutMax;
   options.replica.elect_early = true;
   options.has_disk = store_ != nullptr;
   options.tolerated_losses = settings_.tolerated_losses;
@@ -83,11 +84,11 @@
     options.replica.bootstrap_members = {options.seeds.begin(),
                                          options.seeds.end()};
   controller_ = std::make_unique<fleet::Controller>(
-      SystemClock::Now(), options, std::move(log.state),
+      SystemClock::Now(), options, std::move(opened_log.state),
       std::mt19937_64(std::random_device()()), MakeHooks());
 
   peers_ = std::make_unique<adapters::PeerTransport>(
-      context_, PeerOptions(settings_, kControllerOffset), out_.logger(),
+      context_, PeerOptions(settings_, kControllerPortOffset), log_.logger(),
       [this](const std::string& from, const messages::PeerMessage& message) {
         controller_->OnMessage(SystemClock::Now(), from, message);
       },
@@ -97,7 +98,7 @@
   adapters::HttpServerOptions http;
   http.host = settings_.controller_listen.host;
   http.port = settings_.controller_listen.port;
-  http.max_body_bytes = kMaxBodyBytes;
+  http.max_body_bytes = kMaxConfigurationBytes;
   http_ = std::make_unique<adapters::HttpServer>(
       context_, http,
       [this](const adapters::HttpRequest& request,
@@ -140,7 +141,7 @@
   hooks.decided = [this](const std::string& event, const std::string& subject,
                          const std::string& cause) {
     counters_.GetCounter("goldcrest_decisions_total", {{"event", event}}).Add();
-    out_.Event(event, {{"subject", subject}, {"cause", cause}});
+    log_.LogEvent(event, {{"subject", subject}, {"cause", cause}});
   };
   return hooks;
 }
@@ -148,14 +149,14 @@
 void ControllerService::Tick() {
   const Time now = SystemClock::Now();
   controller_->Tick(now);
-  prober_.CloseIdle(now);
+  prober_.CloseIdleConnections(now);
   if (controller_->HasFailed()) {
-    out_.Event("log_failed", {{"folder", settings_.data_folder}});
+    log_.LogEvent("log_failed", {{"folder", settings_.data_folder}});
     if (on_failure_)
       on_failure_();
     return;
   }
-  scheduler_.After(kTick, [this] { Tick(); });
+  scheduler_.After(kTickInterval, [this] { Tick(); });
 }
 
 void ControllerService::HandleHttp(
@@ -163,17 +164,17 @@
     const adapters::HttpServer::Respond& respond) {
   const auto call = platform::DecodeHttpRequest(request.method, request.path);
   if (!call)
-    return respond(Refusal(404, "no such call"));
+    return respond(ErrorResponse(404, "no such call"));
   switch (call->kind) {
     case platform::HttpRequestKind::kHeartbeat:
-      return respond(HandleBeat(call->endpoint, request.body));
+      return respond(HandleHeartbeat(call->endpoint, request.body));
     case platform::HttpRequestKind::kDeregistration:
       controller_->OnDeparture(
           SystemClock::Now(),
           platform::DecodeDeregistration(call->endpoint, request.body));
       return respond(HttpResponse());
     case platform::HttpRequestKind::kPutConfiguration:
-      return HandlePut(request.body, respond);
+      return HandlePutConfiguration(request.body, respond);
     case platform::HttpRequestKind::kGetConfiguration:
       return respond(
           ToResponse(controller_->Get(SystemClock::Now()), request.path));
@@ -188,14 +189,14 @@
   }
 }
 
-HttpResponse ControllerService::HandleBeat(const std::string& endpoint,
-                                           const std::string& body) {
+HttpResponse ControllerService::HandleHeartbeat(const std::string& endpoint,
+                                                const std::string& body) {
   std::string problem;
   const auto record = platform::DecodeHeartbeat(endpoint, body, problem);
   if (!record) {
-    out_.Event("heartbeat_refused",
-               {{"endpoint", endpoint}, {"cause", problem}});
-    return Refusal(400, problem);
+    log_.LogEvent("heartbeat_refused",
+                  {{"endpoint", endpoint}, {"cause", problem}});
+    return ErrorResponse(400, problem);
   }
   controller_->OnBeat(SystemClock::Now(), *record);
   HttpResponse response;
@@ -203,20 +204,20 @@
   return response;
 }
 
-void ControllerService::HandlePut(
+void ControllerService::HandlePutConfiguration(
     const std::string& body,
     const adapters::HttpServer::Respond& respond) {
   const platform::DecodedDocument decoded =
       platform::DecodeRoutingDocument(body);
   if (!decoded.table) {
-    out_.Event("configuration_refused", {{"cause", decoded.problem}});
-    return respond(Refusal(400, decoded.problem));
+    log_.LogEvent("configuration_refused", {{"cause", decoded.problem}});
+    return respond(ErrorResponse(400, decoded.problem));
   }
   const std::int64_t version = decoded.table->version;
   controller_->Put(
       SystemClock::Now(), version, body,
       [this, respond, version](const ConfigurationResult& result) {
-        out_.Event(
+        log_.LogEvent(
             "configuration_answered",
             {{"version", version}, {"result", static_cast<int>(result.kind)}});
         respond(ToResponse(result,
@@ -244,13 +245,13 @@
     case ConfigurationResult::Kind::kUnknown:
       break;
   }
-  return Refusal(503, "no leader is known");
+  return ErrorResponse(503, "no leader is known");
 }
 
 void ControllerService::Promote(const messages::PrimaryAssignment& assignment) {
   adapters::HttpCall call = platform::EncodePromotion(
       assignment.group, assignment.endpoint, settings_.instance,
-      assignment.order, SystemClock::Now() + kPromotionDeadline);
+      assignment.order, SystemClock::Now() + kPromotionTimeout);
   platform_api_->Call(
       call, [this, assignment](const adapters::HttpResult& result) {
         fleet::PromotionResult outcome = fleet::PromotionResult::kUnanswered;
@@ -260,22 +261,23 @@
           else if (result.status == 409)
             outcome = fleet::PromotionResult::kRefused;
         }
-        out_.Event("promotion_answered", {{"endpoint", assignment.endpoint},
-                                          {"order", assignment.order},
-                                          {"status", result.status},
-                                          {"cause", result.error}});
+        log_.LogEvent("promotion_answered", {{"endpoint", assignment.endpoint},
+                                             {"order", assignment.order},
+                                             {"status", result.status},
+                                             {"cause", result.error}});
         controller_->OnPromotion(SystemClock::Now(), assignment, outcome);
       });
 }
 
 void ControllerService::BeginDrain(std::function<void()> done) {
-  out_.Event("stop_requested", {});
+  log_.LogEvent("stop_requested", {});
   controller_->BeginDrain(SystemClock::Now());
-  scheduler_.After(kHandOver, std::move(done));
+  scheduler_.After(kLeadershipTransferTime, std::move(done));
 }
 
 void ControllerService::OnSettings(const platform::BootSettings& settings) {
-  out_.Event("settings_loaded", {{"seeds", settings.controller_seeds.size()}});
+  log_.LogEvent("settings_loaded",
+                {{"seeds", settings.controller_seeds.size()}});
   controller_->AddControllers(ControllerNames(settings));
 }
 
--- a/programs/goldcrestd/controller_service.h
+++ b/programs/goldcrestd/controller_service.h
@@ -19,23 +19,25 @@
 
 namespace goldcrest {
 
-//! The process that serves endpoints' heartbeats and operators: HTTP, the log
-//! on disk and probes around a fleet::Controller. Runs on one thread, which
-//! waits for the disk.
+//! The controller process, which receives the heartbeats of endpoints and the
+//! configuration requests of operators. Connects a fleet::Controller to its
+//! HTTP server, its log on disk, its peers and the endpoint prober. Runs on one
+//! thread, which blocks while the log is written.
 class ControllerService {
  public:
   ControllerService(boost::asio::io_context& context,
                     const platform::BootSettings& settings,
-                    storage::OpenedLog log,
-                    PlatformLog& out);
+                    storage::OpenedLog opened_log,
+                    PlatformLog& log);
   ~ControllerService();
 
   void Start();
 
-  //! Hands over what it leads and stops; `done` runs once it may exit.
+  //! Starts a planned stop, which transfers leadership; `done` runs once the
+  //! process may exit.
   void BeginDrain(std::function<void()> done);
 
-  //! Runs when the log can't be written; the process must stop.
+  //! `hook` runs when the log can't be written; the process must stop then.
   void SetFailureHook(std::function<void()> hook) {
     on_failure_ = std::move(hook);
   }
@@ -47,17 +49,17 @@
   void Tick();
   void HandleHttp(const adapters::HttpRequest& request,
                   const adapters::HttpServer::Respond& respond);
-  adapters::HttpResponse HandleBeat(const std::string& endpoint,
-                                    const std::string& body);
-  void HandlePut(const std::string& body,
-                 const adapters::HttpServer::Respond& respond);
+  adapters::HttpResponse HandleHeartbeat(const std::string& endpoint,
+                                         const std::string& body);
+  void HandlePutConfiguration(const std::string& body,
+                              const adapters::HttpServer::Respond& respond);
   adapters::HttpResponse ToResponse(const fleet::ConfigurationResult& result,
                                     std::string_view path) const;
   void Promote(const messages::PrimaryAssignment& assignment);
 
   boost::asio::io_context& context_;
   platform::BootSettings settings_;
-  PlatformLog& out_;
+  PlatformLog& log_;
   adapters::Counters counters_;
   adapters::Scheduler scheduler_;
   std::unique_ptr<storage::LogStore> store_;
--- a/programs/goldcrestd/daemon.cc
+++ b/programs/goldcrestd/daemon.cc
@@ -17,15 +17,15 @@
 using adapters::HttpServer;
 using adapters::SystemClock;
 
-constexpr Duration kTick = std::chrono::milliseconds(10);
-constexpr Duration kOperatorDeadline = std::chrono::seconds(8);
-constexpr std::size_t kSecretBytes = 32;
+constexpr Duration kTickInterval = std::chrono::milliseconds(10);
+constexpr Duration kOperatorProposalTimeout = std::chrono::seconds(8);
+constexpr std::size_t kSessionSecretBytes = 32;
 
 std::string RandomBytes(std::size_t count) {
   std::string bytes(count, '\0');
   if (RAND_bytes(reinterpret_cast<unsigned char*>(bytes.data()),
                  static_cast<int>(count)) != 1)
-    throw std::runtime_error("no random bytes can be had");
+    throw std::runtime_error("OpenSSL could not generate random bytes");
   return bytes;
 }
 
@@ -49,7 +49,8 @@
   return names;
 }
 
-messages::InstanceInfo SelfOf(const settings::DaemonSettings& settings) {
+messages::InstanceInfo LocalInstanceInfo(
+    const settings::DaemonSettings& settings) {
   messages::InstanceInfo self;
   self.instance = settings.instance;
   self.zone = settings.zone;
@@ -72,7 +73,7 @@
       pool_(static_cast<std::size_t>(settings.entry.workers)),
       gateway_(pool_.Context()),
       scheduler_(pool_.Context()) {
-  const messages::InstanceInfo self = SelfOf(settings_);
+  const messages::InstanceInfo self = LocalInstanceInfo(settings_);
   entry::EntryNodeOptions options;
   options.control.self = self;
   options.control.control_members = MemberNames(settings_);
@@ -88,7 +89,7 @@
     hooks.persist = [this](const std::vector<consensus::LogWrite>& writes) {
       return static_cast<bool>(store_->Apply(writes));
     };
-    hooks.random_secret = [] { return RandomBytes(kSecretBytes); };
+    hooks.random_secret = [] { return RandomBytes(kSessionSecretBytes); };
     hooks.wall_ms = WallMilliseconds;
     control_ = std::make_unique<entry::ControlNode>(
         replica, control::LeaderOptions(), std::move(log.state),
@@ -106,12 +107,12 @@
   peers_ = std::make_unique<adapters::PeerTransport>(
       pool_.Context(), peer_options, logger_,
       [this](const std::string& from, const messages::PeerMessage& message) {
-        Dispatch(from, message);
+        DispatchMessage(from, message);
       });
 
   HttpServer::Handler on_caller = [this](HttpRequest request,
                                          HttpServer::Respond respond) {
-    HandleCaller(std::move(request), std::move(respond));
+    HandleCallerRequest(std::move(request), std::move(respond));
   };
   adapters::HttpServerOptions http;
   http.host = settings_.entry.caller_listen.host;
@@ -157,25 +158,25 @@
   pool_.Stop();
 }
 
-void Daemon::WithEntry(const EntryStep& step) {
+void Daemon::RunEntryStep(const EntryStep& step) {
   entry::EntryEffects effects;
   {
     const std::lock_guard lock(entry_mutex_);
     effects = step(*entry_, SystemClock::Now());
   }
-  CarryOut(effects);
+  ApplyEffects(effects);
 }
 
-void Daemon::WithControl(const ControlStep& step) {
+void Daemon::RunControlStep(const ControlStep& step) {
   entry::ControlEffects effects;
   {
     const std::lock_guard lock(control_mutex_);
     effects = step(*control_, SystemClock::Now());
   }
-  CarryOut(effects);
+  ApplyEffects(effects);
 }
 
-void Daemon::CarryOut(const entry::EntryEffects& effects) {
+void Daemon::ApplyEffects(const entry::EntryEffects& effects) {
   if (effects.view_changed)
     UpdatePeers();
   for (const auto& [to, message] : effects.messages)
@@ -183,7 +184,7 @@
   for (const coordinator::EndpointCall& call : effects.calls) {
     gateway_.Call(call, [this, id = call.id](coordinator::CallResult result) {
       pool_.Post([this, id, result = std::move(result)] {
-        WithEntry([&](entry::EntryNode& node, Time now) {
+        RunEntryStep([&](entry::EntryNode& node, Time now) {
           return node.OnCallResult(id, result, now);
         });
       });
@@ -196,15 +197,15 @@
   for (const entry::CallerAnswer& answer : effects.answers)
     AnswerCaller(answer);
   for (const entry::OperatorAnswer& answer : effects.operator_answers)
-    operator_api_->OnAnswer(answer.id, answer.response);
-  for (const messages::JournalEntry& note : effects.journal)
-    logger_->Info(note.kind, {{"group", note.subject},
-                              {"cause", note.cause},
-                              {"term", note.inputs.at("term")},
-                              {"epoch", note.inputs.at("epoch")}});
+    operator_api_->OnProposalAnswer(answer.id, answer.response);
+  for (const messages::JournalEntry& entry : effects.journal)
+    logger_->Info(entry.kind, {{"group", entry.subject},
+                               {"cause", entry.cause},
+                               {"term", entry.inputs.at("term")},
+                               {"epoch", entry.inputs.at("epoch")}});
 }
 
-void Daemon::CarryOut(const entry::ControlEffects& effects) {
+void Daemon::ApplyEffects(const entry::ControlEffects& effects) {
   for (const auto& [to, message] : effects.messages)
     Send(to, message);
   if (!effects.failed)
@@ -217,8 +218,9 @@
 
 void Daemon::Send(const std::string& to, messages::PeerMessage message) {
   if (to == settings_.instance) {
-    pool_.Post(
-        [this, to, message = std::move(message)] { Dispatch(to, message); });
+    pool_.Post([this, to, message = std::move(message)] {
+      DispatchMessage(to, message);
+    });
     return;
   }
   if (peers_->Send(to, message))
@@ -226,14 +228,14 @@
   if (!message.__isset.forward && !message.__isset.report)
     return;
   pool_.Post([this, to, message = std::move(message)] {
-    WithEntry([&](entry::EntryNode& node, Time now) {
+    RunEntryStep([&](entry::EntryNode& node, Time now) {
       return node.OnNotSent(to, message, now);
     });
   });
 }
 
-void Daemon::Dispatch(const std::string& from,
-                      const messages::PeerMessage& message) {
+void Daemon::DispatchMessage(const std::string& from,
+                             const messages::PeerMessage& message) {
   if (message.__isset.query) {
     AnswerQuery(from, message.query);
     return;
@@ -250,11 +252,11 @@
   const bool for_control = message.__isset.consensus ||
                            message.__isset.report || message.__isset.propose;
   if (for_control && control_ != nullptr) {
-    WithControl([&](entry::ControlNode& node, Time now) {
+    RunControlStep([&](entry::ControlNode& node, Time now) {
       return node.OnMessage(from, message, now);
     });
   } else if (!for_control) {
-    WithEntry([&](entry::EntryNode& node, Time now) {
+    RunEntryStep([&](entry::EntryNode& node, Time now) {
       return node.OnMessage(from, message, now);
     });
   }
@@ -268,9 +270,10 @@
   if (control_ != nullptr) {
     const std::lock_guard lock(control_mutex_);
     if (control_->IsLeader()) {
-      const std::size_t mark = query.path.find('?');
-      const std::string subject =
-          mark == std::string::npos ? "" : query.path.substr(mark + 1);
+      const std::size_t query_start = query.path.find('?');
+      const std::string subject = query_start == std::string::npos
+                                      ? ""
+                                      : query.path.substr(query_start + 1);
       response.code = ToNumber(ResultCode::kOk);
       response.body = query.path.starts_with("/v1/status")
                           ? StatusJson(*control_, SystemClock::Now())
@@ -300,7 +303,7 @@
 
 void Daemon::TickEntry() {
   bool has_lease = false;
-  WithEntry([&](entry::EntryNode& node, Time now) {
+  RunEntryStep([&](entry::EntryNode& node, Time now) {
     has_lease = node.HasControlLease(now);
     return node.Tick(now);
   });
@@ -310,16 +313,16 @@
         has_lease ? "serving" : "not_serving",
         has_lease ? ResultCode::kOk : ResultCode::kNoControlContact);
   }
-  operator_api_->Expire(SystemClock::Now());
+  operator_api_->ExpireQueries(SystemClock::Now());
   if (draining_)
-    DrainStep();
-  scheduler_.After(kTick, [this] { TickEntry(); });
+    ContinueDrain();
+  scheduler_.After(kTickInterval, [this] { TickEntry(); });
 }
 
 void Daemon::TickControl() {
-  WithControl(
+  RunControlStep(
       [](entry::ControlNode& node, Time now) { return node.Tick(now); });
-  scheduler_.After(kTick, [this] { TickControl(); });
+  scheduler_.After(kTickInterval, [this] { TickControl(); });
 }
 
 void Daemon::BeginDrain(std::function<void()> done) {
@@ -333,13 +336,13 @@
     entry_->BeginDrain();
   }
   if (control_ != nullptr) {
-    WithControl([](entry::ControlNode& node, Time now) {
+    RunControlStep([](entry::ControlNode& node, Time now) {
       return node.TransferLeadership(now);
     });
   }
 }
 
-void Daemon::DrainStep() {
+void Daemon::ContinueDrain() {
   const Time now = SystemClock::Now();
   if (now < listener_closes_at_)
     return;
@@ -363,8 +366,9 @@
   OperatorApiHooks hooks;
   hooks.propose = [this](std::uint64_t id,
                          const messages::ProposeRequest& request) {
-    WithEntry([&](entry::EntryNode& node, Time now) {
-      return node.OnOperatorProposal(id, request, now + kOperatorDeadline, now);
+    RunEntryStep([&](entry::EntryNode& node, Time now) {
+      return node.OnOperatorProposal(id, request,
+                                     now + kOperatorProposalTimeout, now);
     });
   };
   hooks.query = [this](const messages::QueryRequest& query) {
@@ -402,7 +406,7 @@
     Send(instance, std::move(message));
     return true;
   };
-  hooks.refusals = &refusals_;
+  hooks.refusals = &refusal_log_;
   return hooks;
 }
 
--- a/programs/goldcrestd/daemon.h
+++ b/programs/goldcrestd/daemon.h
@@ -26,18 +26,18 @@
 
 namespace goldcrest {
 
-//! One instance: the servers, the peer links and the tables of both roles, run
-//! by a pool of workers.
+//! The daemon of one instance: its HTTP servers, its peer links, its entry node
+//! and, on control members, its control node. Runs on a pool of worker threads.
 //!
-//! Locks: entry_mutex_ and control_mutex_ guard one table each. Neither is
-//! taken while the other is held, and no effect is carried out under either, so
-//! there is no order to keep between them. callers_mutex_ guards the answers
-//! due and is taken alone.
+//! Locking: entry_mutex_ guards entry_, control_mutex_ guards control_, and
+//! pending_callers_mutex_ guards pending_callers_. No thread holds two of them
+//! at once, and effects are applied without any of them, so that no lock order
+//! is needed.
 class Daemon {
  public:
-  //! Binds the addresses; throws std::system_error when one can't be bound.
-  //! `log` is set for the role control; `bootstrap` starts a new cluster if its
-  //! folder is empty.
+  //! Binds the listen addresses; throws std::system_error if one can't be
+  //! bound. `log` has a store on control members only. `bootstrap` starts a new
+  //! cluster if the data folder is empty.
   Daemon(const settings::DaemonSettings& settings,
          std::shared_ptr<adapters::Logger> logger,
          storage::OpenedLog log,
@@ -46,15 +46,16 @@
 
   void Start();
 
-  //! Starts a planned stop; `done` runs once nothing is left to do.
+  //! Starts a planned stop; `done` runs once all caller connections are closed
+  //! and the entry node is drained.
   void BeginDrain(std::function<void()> done);
 
-  //! Runs when the log can't be written; the process must stop.
+  //! `hook` runs when the log can't be written; the process must stop then.
   void SetFailureHook(std::function<void()> hook) {
     on_failure_ = std::move(hook);
   }
 
-  //! Runs when an operator asks for a planned stop.
+  //! `hook` runs when an operator requests a planned stop.
   void SetDrainRequestHook(std::function<void()> hook) {
     on_drain_request_ = std::move(hook);
   }
@@ -68,22 +69,23 @@
   using ControlStep =
       std::function<entry::ControlEffects(entry::ControlNode&, Time)>;
 
-  void WithEntry(const EntryStep& step);
-  void WithControl(const ControlStep& step);
-  void CarryOut(const entry::EntryEffects& effects);
-  void CarryOut(const entry::ControlEffects& effects);
+  void RunEntryStep(const EntryStep& step);
+  void RunControlStep(const ControlStep& step);
+  void ApplyEffects(const entry::EntryEffects& effects);
+  void ApplyEffects(const entry::ControlEffects& effects);
   void Send(const std::string& to, messages::PeerMessage message);
-  void Dispatch(const std::string& from, const messages::PeerMessage& message);
+  void DispatchMessage(const std::string& from,
+                       const messages::PeerMessage& message);
   void AnswerQuery(const std::string& from,
                    const messages::QueryRequest& query);
   void UpdatePeers();
   void TickEntry();
   void TickControl();
-  void DrainStep();
+  void ContinueDrain();
 
-  void HandleCaller(adapters::HttpRequest request,
-                    adapters::HttpServer::Respond respond);
-  adapters::HttpResponse Health();
+  void HandleCallerRequest(adapters::HttpRequest request,
+                           adapters::HttpServer::Respond respond);
+  adapters::HttpResponse HealthResponse();
   void HandleAnnouncement(const adapters::HttpRequest& request,
                           adapters::HttpServer::Respond respond);
   void AnswerCaller(const entry::CallerAnswer& answer);
@@ -92,16 +94,16 @@
   settings::DaemonSettings settings_;
   std::shared_ptr<adapters::Logger> logger_;
   adapters::Counters counters_;
-  RefusalLog refusals_;
+  RefusalLog refusal_log_;
   std::string announce_secret_;
   std::unique_ptr<storage::LogStore> store_;
 
-  struct DueAnswer {
+  struct PendingCaller {
     adapters::HttpServer::Respond respond;
     Time arrival;
   };
-  std::mutex callers_mutex_;
-  std::unordered_map<std::uint64_t, DueAnswer> callers_;
+  std::mutex pending_callers_mutex_;
+  std::unordered_map<std::uint64_t, PendingCaller> pending_callers_;
   std::atomic<std::uint64_t> next_caller_id_{1};
 
   std::mutex entry_mutex_;
@@ -116,7 +118,8 @@
   std::function<void()> on_failure_;
   std::function<void()> on_drain_request_;
 
-  // Last, so that they stop before what their handlers use goes away.
+  // Declared last, so that they are destroyed before the members that their
+  // handlers use.
   adapters::IoPool pool_;
   EndpointGateway gateway_;
   adapters::Scheduler scheduler_;
--- a/programs/goldcrestd/daemon_callers.cc
+++ b/programs/goldcrestd/daemon_callers.cc
@@ -12,14 +12,15 @@
 using adapters::HttpServer;
 using adapters::SystemClock;
 
-// An endpoint has this long to answer the call back to its address.
-constexpr Duration kVerifyTimeout = std::chrono::milliseconds(400);
+// Limit for an endpoint's answer to the call that verifies its announcement.
+constexpr Duration kAnnouncementVerifyTimeout = std::chrono::milliseconds(400);
 
 }  // namespace
 
-void Daemon::HandleCaller(HttpRequest request, HttpServer::Respond respond) {
+void Daemon::HandleCallerRequest(HttpRequest request,
+                                 HttpServer::Respond respond) {
   if (request.method == "GET" && request.path == "/healthz") {
-    respond(Health());
+    respond(HealthResponse());
     return;
   }
   if (request.method == "GET" && request.path == "/metrics") {
@@ -39,18 +40,18 @@
   }
   entry::CallerRequest& caller = std::get<entry::CallerRequest>(parsed);
   caller.id = next_caller_id_++;
-  // The header is not needed any more; nothing else may see the key.
+  // The headers hold the caller's key, which must not be passed on.
   request.headers.clear();
   {
-    const std::lock_guard lock(callers_mutex_);
-    callers_[caller.id] = {std::move(respond), SystemClock::Now()};
+    const std::lock_guard lock(pending_callers_mutex_);
+    pending_callers_[caller.id] = {std::move(respond), SystemClock::Now()};
   }
-  WithEntry([&](entry::EntryNode& node, Time now) {
+  RunEntryStep([&](entry::EntryNode& node, Time now) {
     return node.OnCallerRequest(caller, now);
   });
 }
 
-adapters::HttpResponse Daemon::Health() {
+adapters::HttpResponse Daemon::HealthResponse() {
   if (draining_)
     return adapters::ResultResponse(ResultCode::kDraining);
   if (!serving_)
@@ -60,8 +61,8 @@
 
 void Daemon::HandleAnnouncement(const HttpRequest& request,
                                 HttpServer::Respond respond) {
-  if (!IsSigned(announce_secret_, request.body,
-                request.Header("Goldcrest-Signature"))) {
+  if (!HasValidSignature(announce_secret_, request.body,
+                         request.Header("Goldcrest-Signature"))) {
     respond(adapters::ResultResponse(ResultCode::kAnnouncementRejected));
     return;
   }
@@ -81,10 +82,10 @@
     respond(adapters::ResultResponse(ResultCode::kOk));
     return;
   }
-  // The signature shows who sent it; the call back shows that the address is
-  // that endpoint's, in this very incarnation.
-  gateway_.Verify(
-      announcement->info, SystemClock::Now() + kVerifyTimeout,
+  // The signature authenticates the sender. The call to the announced address
+  // verifies that this endpoint runs there, in the announced incarnation.
+  gateway_.VerifyIdentity(
+      announcement->info, SystemClock::Now() + kAnnouncementVerifyTimeout,
       [this, announcement = *announcement,
        respond = std::move(respond)](bool verified) {
         if (!verified) {
@@ -92,7 +93,7 @@
           return;
         }
         pool_.Post([this, announcement, respond] {
-          WithEntry([&](entry::EntryNode& node, Time now) {
+          RunEntryStep([&](entry::EntryNode& node, Time now) {
             return node.OnAnnouncement(announcement, now);
           });
           respond(adapters::ResultResponse(ResultCode::kOk));
@@ -101,25 +102,25 @@
 }
 
 void Daemon::AnswerCaller(const entry::CallerAnswer& answer) {
-  DueAnswer due;
+  PendingCaller pending;
   {
-    const std::lock_guard lock(callers_mutex_);
-    const auto node = callers_.extract(answer.id);
+    const std::lock_guard lock(pending_callers_mutex_);
+    const auto node = pending_callers_.extract(answer.id);
     if (node.empty())
       return;
-    due = std::move(node.mapped());
+    pending = std::move(node.mapped());
   }
   counters_
       .GetCounter("goldcrest_requests_total",
                   {{"code", std::to_string(ToNumber(answer.code))}})
       .Add();
   counters_.GetHistogram("goldcrest_request_seconds")
-      .Observe(SystemClock::Now() - due.arrival);
+      .Observe(SystemClock::Now() - pending.arrival);
   if (InfoOf(answer.code).outcome != Outcome::kDone) {
-    refusals_.Add(answer.code, answer.customer, answer.group,
-                  SystemClock::WallNow().count());
+    refusal_log_.Add(answer.code, answer.customer, answer.group,
+                     SystemClock::WallNow().count());
   }
-  due.respond(ToHttp(answer));
+  pending.respond(ToHttp(answer));
 }
 
 }  // namespace goldcrest
--- a/programs/goldcrestd/endpoint_gateway.cc
+++ b/programs/goldcrestd/endpoint_gateway.cc
@@ -20,8 +20,8 @@
 using coordinator::NotRunReason;
 using coordinator::StatementKind;
 
-constexpr std::size_t kMaxTextBytes = std::size_t{1} << 20U;
-constexpr int kProbeConnections = 4;
+constexpr std::size_t kMaxFieldBytes = std::size_t{1} << 20U;
+constexpr int kMaxProbeConnections = 4;
 constexpr int kHttpOk = 200;
 
 std::string_view NameOf(StatementKind kind) {
@@ -46,7 +46,7 @@
   return std::max<std::int64_t>(left.count(), 1);
 }
 
-adapters::HttpCall ToHttp(const EndpointCall& call) {
+adapters::HttpCall ToHttpCall(const EndpointCall& call) {
   adapters::HttpCall http;
   http.deadline = call.deadline;
   JsonWriter body;
@@ -89,7 +89,7 @@
   return http;
 }
 
-NotRunReason ReasonFrom(const std::string& name) {
+NotRunReason ParseNotRunReason(const std::string& name) {
   if (name == "stale_term")
     return NotRunReason::kStaleTerm;
   if (name == "not_primary")
@@ -99,7 +99,7 @@
   return NotRunReason::kOther;
 }
 
-// Nullopt when the body is not an answer to `call`.
+// Nullopt if `body` is not a valid answer to `call`.
 std::optional<EndpointAnswer> ParseAnswer(const EndpointCall& call,
                                           const std::string& body) {
   JsonObject json = JsonObject::Parse(body);
@@ -108,19 +108,21 @@
   answer.term = json.OptionalInteger("term", 0, max).value_or(0);
   answer.position = json.OptionalInteger("position", 0, max).value_or(0);
   answer.log_term = json.OptionalInteger("log_term", 0, max).value_or(0);
-  // The position of a member's last entry, compared or not, ranks it.
+  // Promotion candidates are ranked by the position of the last entry in their
+  // log, whether or not that entry has been compared with the primary's log.
   if (const auto log_position = json.OptionalInteger("log_position", 0, max))
     answer.position = *log_position;
-  answer.endpoint = json.OptionalString("endpoint", kMaxTextBytes).value_or("");
-  answer.value = json.OptionalString("value", kMaxTextBytes).value_or("");
+  answer.endpoint =
+      json.OptionalString("endpoint", kMaxFieldBytes).value_or("");
+  answer.value = json.OptionalString("value", kMaxFieldBytes).value_or("");
   answer.transaction =
-      json.OptionalString("transaction", kMaxTextBytes).value_or("");
+      json.OptionalString("transaction", kMaxFieldBytes).value_or("");
   answer.known = json.OptionalBool("known").value_or(false);
   answer.call_id = call.id;
   if (call.operation == EndpointOperation::kStatement) {
     answer.call_id =
         static_cast<std::uint64_t>(json.RequiredInteger("call_id", 0, max));
-    const std::string status = json.RequiredString("status", kMaxTextBytes);
+    const std::string status = json.RequiredString("status", kMaxFieldBytes);
     if (status == "not_run")
       answer.status = AnswerStatus::kNotRun;
     else if (status == "failed")
@@ -128,8 +130,8 @@
     else if (status != "done")
       json.AddError("status", "is unknown");
     const std::string reason =
-        json.OptionalString("reason", kMaxTextBytes).value_or("");
-    answer.reason = ReasonFrom(reason);
+        json.OptionalString("reason", kMaxFieldBytes).value_or("");
+    answer.reason = ParseNotRunReason(reason);
     if (answer.status == AnswerStatus::kFailed)
       answer.value = reason;
   }
@@ -138,8 +140,8 @@
   return answer;
 }
 
-CallResult ToResult(const EndpointCall& call,
-                    const adapters::HttpResult& http) {
+CallResult ToCallResult(const EndpointCall& call,
+                        const adapters::HttpResult& http) {
   CallResult result;
   if (http.delivery == HttpDelivery::kNotSent) {
     result.delivery = Delivery::kNotSent;
@@ -161,7 +163,7 @@
     const std::vector<messages::EndpointInfo>& endpoints) {
   const std::lock_guard lock(mutex_);
   for (const messages::EndpointInfo& info : endpoints) {
-    Client& client = clients_[info.endpoint];
+    EndpointClients& client = clients_[info.endpoint];
     if (client.host == info.host && client.port == info.port) {
       client.statements->SetMaxConnections(
           static_cast<std::size_t>(info.connections));
@@ -169,13 +171,15 @@
     }
     client.host = info.host;
     client.port = info.port;
-    client.statements = NewClient(info.host, info.port, info.connections);
-    client.probes = NewClient(info.host, info.port, kProbeConnections);
+    client.statements = MakeClient(info.host, info.port, info.connections);
+    client.probes = MakeClient(info.host, info.port, kMaxProbeConnections);
   }
 }
 
-std::shared_ptr<adapters::HttpClient>
-EndpointGateway::NewClient(const std::string& host, int port, int connections) {
+std::shared_ptr<adapters::HttpClient> EndpointGateway::MakeClient(
+    const std::string& host,
+    int port,
+    int connections) {
   adapters::HttpClientOptions options;
   options.host = host;
   options.port = static_cast<std::uint16_t>(port);
@@ -198,12 +202,12 @@
     return;
   }
   auto done = [call, callback](const adapters::HttpResult& http) {
-    callback(ToResult(call, http));
+    callback(ToCallResult(call, http));
   };
   if (call.pin == 0)
-    client->Call(ToHttp(call), std::move(done));
+    client->Call(ToHttpCall(call), std::move(done));
   else
-    CallPinned(call, client, ToHttp(call), std::move(done));
+    CallPinned(call, client, ToHttpCall(call), std::move(done));
 }
 
 void EndpointGateway::CallPinned(
@@ -237,7 +241,7 @@
           if (it == pins_.end() || opened == nullptr) {
             if (it != pins_.end())
               pins_.erase(it);
-            opened = nullptr;  // closes it if the pin was closed meanwhile
+            opened = nullptr;  // the pin was closed while the connection opened
           } else {
             it->second.connection = opened;
           }
@@ -274,10 +278,10 @@
     connection->Release();
 }
 
-void EndpointGateway::Verify(const messages::EndpointInfo& info,
-                             Time deadline,
-                             std::function<void(bool)> callback) {
-  const auto client = NewClient(info.host, info.port, 1);
+void EndpointGateway::VerifyIdentity(const messages::EndpointInfo& info,
+                                     Time deadline,
+                                     std::function<void(bool)> callback) {
+  const auto client = MakeClient(info.host, info.port, 1);
   adapters::HttpCall call;
   call.method = "GET";
   call.path = "/v1/status";
@@ -290,8 +294,8 @@
     }
     JsonObject json = JsonObject::Parse(http.body);
     const bool matches =
-        json.RequiredString("endpoint", kMaxTextBytes) == info.endpoint &&
-        json.RequiredString("group", kMaxTextBytes) == info.group &&
+        json.RequiredString("endpoint", kMaxFieldBytes) == info.endpoint &&
+        json.RequiredString("group", kMaxFieldBytes) == info.group &&
         json.RequiredInteger("incarnation", 0, INT64_MAX) == info.incarnation;
     callback(matches && json.Finish(adapters::UnknownFields::kIgnore).empty());
   });
--- a/programs/goldcrestd/endpoint_gateway.h
+++ b/programs/goldcrestd/endpoint_gateway.h
@@ -16,7 +16,7 @@
 
 namespace goldcrest {
 
-//! Makes the coordinator's calls to endpoints over HTTP. Safe from any thread.
+//! Sends the coordinator's calls to endpoints over HTTP. Thread-safe.
 class EndpointGateway {
  public:
   using Callback = std::function<void(coordinator::CallResult)>;
@@ -26,35 +26,37 @@
 
   void SetEndpoints(const std::vector<messages::EndpointInfo>& endpoints);
 
-  //! `callback` runs once, on a worker thread.
+  //! `callback` runs once, on a worker thread or before Call() returns.
   void Call(const coordinator::EndpointCall& call, const Callback& callback);
 
   void ClosePin(const std::string& endpoint, std::uint64_t pin);
   void ReleasePin(const std::string& endpoint, std::uint64_t pin);
 
-  //! Asks the address of an announcement for its identity. `callback` gets
-  //! whether it answers as that endpoint, group and incarnation.
-  void Verify(const messages::EndpointInfo& info,
-              Time deadline,
-              std::function<void(bool)> callback);
+  //! Requests the identity of the endpoint at the announced address. `callback`
+  //! receives true if its name, group and incarnation are those of `info`.
+  void VerifyIdentity(const messages::EndpointInfo& info,
+                      Time deadline,
+                      std::function<void(bool)> callback);
 
  private:
-  struct Client {
+  struct EndpointClients {
     std::string host;
     int port = 0;
-    // Statements must not delay probes, so these have a pool of their own.
+    // Probes have a connection pool of their own, so that statements can't
+    // delay them.
     std::shared_ptr<adapters::HttpClient> statements;
     std::shared_ptr<adapters::HttpClient> probes;
   };
   struct Pin {
-    std::shared_ptr<adapters::PinnedConnection> connection;  // null: opening
+    std::shared_ptr<adapters::PinnedConnection>
+        connection;  // null until opened
     bool closed = false;
   };
   using PinKey = std::pair<std::string, std::uint64_t>;
 
-  std::shared_ptr<adapters::HttpClient> NewClient(const std::string& host,
-                                                  int port,
-                                                  int connections);
+  std::shared_ptr<adapters::HttpClient> MakeClient(const std::string& host,
+                                                   int port,
+                                                   int connections);
   void CallPinned(const coordinator::EndpointCall& call,
                   const std::shared_ptr<adapters::HttpClient>& client,
                   adapters::HttpCall http,
@@ -62,7 +64,7 @@
 
   boost::asio::io_context& context_;
   std::mutex mutex_;
-  std::map<std::string, Client> clients_;
+  std::map<std::string, EndpointClients> clients_;
   std::map<PinKey, Pin> pins_;
 };
 
--- a/programs/goldcrestd/endpoint_prober.cc
+++ b/programs/goldcrestd/endpoint_prober.cc
@@ -14,20 +14,23 @@
 using statements::EndpointCommand;
 using statements::Outcome;
 
-// An endpoint answers in some milliseconds; a lost packet costs 200 ms.
+// An endpoint answers within a few milliseconds; a lost packet delays the
+// answer by 200 ms.
 constexpr std::chrono::milliseconds kAnswerTimeout{350};
 
-constexpr Duration kIdleKept = std::chrono::seconds(2);
+constexpr Duration kMaxIdleTime = std::chrono::seconds(2);
 
-// How probes are named to endpoints in place of a customer.
+// Probes have no customer; endpoints receive this name instead.
 constexpr const char* kProbeCustomer = "goldcrestcross";
 
 }  // namespace
 
 EndpointProber::EndpointProber(boost::asio::io_context& context,
                                adapters::Scheduler& scheduler,
-                               Result result)
-    : context_(context), scheduler_(scheduler), result_(std::move(result)) {}
+                               ResultCallback on_result)
+    : context_(context),
+      scheduler_(scheduler),
+      on_result_(std::move(on_result)) {}
 
 EndpointProber::~EndpointProber() {
   for (auto& [endpoint, connection] : connections_)
@@ -41,13 +44,13 @@
     connection->socket->Close();
     connection.reset();
   }
-  if (connection && (connection->asked || !connection->started)) {
+  if (connection && (connection->probe_pending || !connection->started)) {
     connection->purpose = purpose;
     return;
   }
   const std::uint64_t attempt = ++attempts_;
-  const bool fresh = !connection;
-  if (fresh) {
+  const bool is_new_connection = !connection;
+  if (is_new_connection) {
     connection = std::make_unique<Connection>();
     connection->group = record.group;
     connection->endpoint = record.endpoint;
@@ -57,16 +60,16 @@
   }
   connection->purpose = purpose;
   connection->attempt = attempt;
-  connection->used_at = SystemClock::Now();
+  connection->last_used_at = SystemClock::Now();
   scheduler_.After(kAnswerTimeout, [this, endpoint = record.endpoint, attempt] {
     const auto it = connections_.find(endpoint);
     if (it == connections_.end() || it->second->attempt != attempt ||
-        (it->second->started && !it->second->asked))
+        (it->second->started && !it->second->probe_pending))
       return;
     Fail(endpoint);
   });
-  if (!fresh)
-    return Ask(*connection);
+  if (!is_new_connection)
+    return SendProbe(*connection);
   const platform::SocketAddress address =
       platform::ParseAddress(record.address);
   connection->socket->Connect(
@@ -81,9 +84,9 @@
        }});
 }
 
-void EndpointProber::Ask(Connection& connection) {
-  connection.asked = true;
-  connection.asked_at = SystemClock::Now();
+void EndpointProber::SendProbe(Connection& connection) {
+  connection.probe_pending = true;
+  connection.probe_sent_at = SystemClock::Now();
   EndpointCommand command;
   command.kind = connection.purpose == ProbePurpose::kLead
                      ? EndpointCommand::Kind::kBegin
@@ -111,17 +114,17 @@
                               const statements::Answer& answer) {
   if (!connection.started) {
     connection.started = true;
-    return Ask(connection);
+    return SendProbe(connection);
   }
-  if (connection.cleaning) {
-    connection.cleaning = false;
+  if (connection.rollback_pending) {
+    connection.rollback_pending = false;
     return;
   }
-  if (!connection.asked)
+  if (!connection.probe_pending)
     return Fail(connection.endpoint);
   ProbeResult result;
   result.kind = ProbeResult::Kind::kFollows;
-  result.asked_at = connection.asked_at;
+  result.asked_at = connection.probe_sent_at;
   if (answer.position) {
     result.term = answer.position->term;
     result.number = answer.position->number;
@@ -132,7 +135,7 @@
     if (answer.state != statements::TransactionState::kIdle) {
       EndpointCommand rollback;
       rollback.kind = EndpointCommand::Kind::kRollback;
-      connection.cleaning = true;
+      connection.rollback_pending = true;
       connection.socket->Write(platform::EncodeCommand(rollback));
     }
   } else if (const auto received = platform::ReceivedPosition(answer)) {
@@ -143,9 +146,9 @@
 }
 
 void EndpointProber::Finish(Connection& connection, const ProbeResult& result) {
-  connection.asked = false;
-  connection.used_at = SystemClock::Now();
-  result_(connection.group, connection.endpoint, result);
+  connection.probe_pending = false;
+  connection.last_used_at = SystemClock::Now();
+  on_result_(connection.group, connection.endpoint, result);
 }
 
 void EndpointProber::Fail(const std::string& endpoint) {
@@ -158,13 +161,14 @@
   ProbeResult result;
   if (connection->decoder.Partial().outcome == Outcome::kTooManyConnections)
     result.kind = ProbeResult::Kind::kReached;
-  result_(connection->group, endpoint, result);
+  on_result_(connection->group, endpoint, result);
 }
 
-void EndpointProber::CloseIdle(Time now) {
+void EndpointProber::CloseIdleConnections(Time now) {
   std::erase_if(connections_, [now](auto& item) {
     Connection& connection = *item.second;
-    if (connection.asked || now - connection.used_at < kIdleKept)
+    if (connection.probe_pending ||
+        now - connection.last_used_at < kMaxIdleTime)
       return false;
     connection.socket->Close();
     return true;
--- a/programs/goldcrestd/endpoint_prober.h
+++ b/programs/goldcrestd/endpoint_prober.h
@@ -14,25 +14,26 @@
 
 namespace goldcrest {
 
-//! Asks endpoints whether they lead and how far their logs are. Keeps one
-//! connection to each endpoint that it asks again and again.
+//! Probes endpoints for whether they lead their group and for the position of
+//! their log. Reuses one connection per endpoint.
 class EndpointProber {
  public:
-  using Result = std::function<void(const std::string& group,
-                                    const std::string& endpoint,
-                                    const fleet::ProbeResult&)>;
+  using ResultCallback = std::function<void(const std::string& group,
+                                            const std::string& endpoint,
+                                            const fleet::ProbeResult&)>;
 
   EndpointProber(boost::asio::io_context& context,
                  adapters::Scheduler& scheduler,
-                 Result result);
+                 ResultCallback on_result);
   ~EndpointProber();
 
-  //! A probe of an endpoint that is being probed is dropped.
+  //! Probes an endpoint. While a probe of this endpoint is pending, only its
+  //! purpose is updated.
   void Probe(const messages::EndpointRecord& record,
              fleet::ProbePurpose purpose);
 
-  //! Closes connections that were not used for a while.
-  void CloseIdle(Time now);
+  //! Closes connections that have been idle for two seconds.
+  void CloseIdleConnections(Time now);
 
  private:
   struct Connection {
@@ -42,15 +43,15 @@
     std::shared_ptr<adapters::LineSocket> socket;
     platform::AnswerDecoder decoder;
     fleet::ProbePurpose purpose = fleet::ProbePurpose::kLead;
-    bool started = false;   // the endpoint has accepted the connection
-    bool asked = false;     // an answer to the probe is due
-    bool cleaning = false;  // the answer to the rollback is due
+    bool started = false;           // the endpoint has answered the start line
+    bool probe_pending = false;     // an answer to the probe is due
+    bool rollback_pending = false;  // an answer to the rollback is due
     std::uint64_t attempt = 0;
-    Time used_at;
-    Time asked_at;
+    Time last_used_at;
+    Time probe_sent_at;
   };
 
-  void Ask(Connection& connection);
+  void SendProbe(Connection& connection);
   void OnLine(const std::string& endpoint, std::string_view line);
   void OnAnswer(Connection& connection, const statements::Answer& answer);
   void Finish(Connection& connection, const fleet::ProbeResult& result);
@@ -58,7 +59,7 @@
 
   boost::asio::io_context& context_;
   adapters::Scheduler& scheduler_;
-  Result result_;
+  ResultCallback on_result_;
   std::uint64_t attempts_ = 0;
   std::map<std::string, std::unique_ptr<Connection>> connections_;
 };
--- a/programs/goldcrestd/entry_service.cc
+++ b/programs/goldcrestd/entry_service.cc
@@ -18,20 +18,23 @@
 using statements::SessionId;
 using std::chrono::milliseconds;
 
-// Across zones a connection takes some 11 ms; a lost packet costs a second.
+// Opening a connection across availability zones takes some 11 ms; a lost
+// packet delays it by a second.
 constexpr milliseconds kConnectTimeout{1'200};
 
-// A caller that does not close its side gets this long after the last answer.
-constexpr milliseconds kCallerLinger{500};
+// Time after the last answer in which the caller may close its side; then the
+// connection is closed.
+constexpr milliseconds kCallerCloseTimeout{500};
 
-// Reports to controllers that do not lead, which tell that this entry lives.
-constexpr Duration kPresenceInterval = milliseconds(2'000);
+// Interval of the reports by which controllers, also those that do not lead,
+// learn that this entry is alive.
+constexpr Duration kKeepaliveReportInterval = milliseconds(2'000);
 
-// How long new callers still arrive after readiness was withdrawn: two probes a
-// second apart have to fail.
-constexpr Duration kRotationTime = milliseconds(2'300);
+// The load balancer sends new callers until two readiness probes, a second
+// apart, have failed.
+constexpr Duration kReadinessWithdrawalDelay = milliseconds(2'300);
 
-std::int64_t RandomProcess() {
+std::int64_t RandomProcessId() {
   std::random_device device;
   return static_cast<std::int64_t>(
       ((std::uint64_t{device()} << 31U) ^ device()) | 1U);
@@ -45,14 +48,15 @@
     : context_(context),
       settings_(settings),
       log_(log),
-      process_(RandomProcess()),
+      process_id_(RandomProcessId()),
       started_at_(SystemClock::Now()),
       scheduler_(context),
       acceptor_(context),
       proxy_({settings.zone, LimitWindowOf(settings)}, MakeHooks()),
-      document_source_(process_) {
+      document_source_(process_id_) {
   known_controllers_ = ControllerNames(settings_);
-  adapters::PeerTransportOptions peers = PeerOptions(settings_, kEntryOffset);
+  adapters::PeerTransportOptions peers =
+      PeerOptions(settings_, kEntryPortOffset);
   peers_ = std::make_unique<adapters::PeerTransport>(
       context_, peers, log_.logger(),
       [this](const std::string& from, const messages::PeerMessage& message) {
@@ -83,7 +87,7 @@
   UpdatePeers();
   peers_->Start();
   http_->Start();
-  AwaitCaller();
+  AcceptNextCaller();
   Tick();
 }
 
@@ -104,12 +108,12 @@
   hooks.close_session = [this](SessionId id) { CloseCaller(id); };
   hooks.open = [this](ConnectionId id,
                       const statements::ConnectionTarget& target) {
-    OpenEndpoint(id, target);
+    OpenEndpointConnection(id, target);
   };
   hooks.send = [this](ConnectionId id,
                       const std::vector<statements::EndpointCommand>& list) {
-    const auto it = endpoints_.find(id);
-    if (it == endpoints_.end())
+    const auto it = endpoint_connections_.find(id);
+    if (it == endpoint_connections_.end())
       return;
     std::string bytes;
     for (const statements::EndpointCommand& command : list)
@@ -117,17 +121,17 @@
     it->second.socket->Write(bytes);
   };
   hooks.close = [this](ConnectionId id) {
-    const auto it = endpoints_.find(id);
-    if (it == endpoints_.end())
+    const auto it = endpoint_connections_.find(id);
+    if (it == endpoint_connections_.end())
       return;
     it->second.socket->Close();
-    endpoints_.erase(it);
+    endpoint_connections_.erase(it);
   };
   hooks.decided = [this](const statements::Decision& decision) {
     counters_
         .GetCounter("goldcrest_decisions_total", {{"event", decision.event}})
         .Add();
-    log_.Decided(decision);
+    log_.LogDecision(decision);
   };
   hooks.completed = [this](const routing::Route& route,
                            statements::Outcome outcome, Duration latency) {
@@ -143,20 +147,20 @@
   return hooks;
 }
 
-void EntryService::AwaitCaller() {
+void EntryService::AcceptNextCaller() {
   acceptor_.async_accept(
       [this](boost::system::error_code error, tcp::socket socket) {
         if (error == boost::asio::error::operation_aborted)
           return;
         if (error)
-          log_.Event("accept_failed", {{"cause", error.message()}});
+          log_.LogEvent("accept_failed", {{"cause", error.message()}});
         else
-          OnCaller(std::move(socket));
-        AwaitCaller();
+          OnCallerAccepted(std::move(socket));
+        AcceptNextCaller();
       });
 }
 
-void EntryService::OnCaller(tcp::socket socket) {
+void EntryService::OnCallerAccepted(tcp::socket socket) {
   const SessionId id = next_session_++;
   auto caller = std::make_shared<LineSocket>(context_, platform::kMaxLineBytes);
   callers_[id] = caller;
@@ -193,14 +197,15 @@
   const auto it = callers_.find(id);
   if (it == callers_.end())
     return;
-  it->second->CloseAfterWrites(kCallerLinger);
+  it->second->CloseAfterWrites(kCallerCloseTimeout);
   callers_.erase(it);
   started_sessions_.erase(id);
 }
 
-void EntryService::OpenEndpoint(ConnectionId id,
-                                const statements::ConnectionTarget& target) {
-  EndpointLink& link = endpoints_[id];
+void EntryService::OpenEndpointConnection(
+    ConnectionId id,
+    const statements::ConnectionTarget& target) {
+  EndpointConnection& link = endpoint_connections_[id];
   link.socket = std::make_shared<LineSocket>(context_, platform::kMaxLineBytes);
   const auto* entry = proxy_.directory().Find(target.endpoint);
   const platform::SocketAddress address =
@@ -216,10 +221,10 @@
 }
 
 void EntryService::OnEndpointLine(ConnectionId id, std::string_view line) {
-  const auto it = endpoints_.find(id);
-  if (it == endpoints_.end())
+  const auto it = endpoint_connections_.find(id);
+  if (it == endpoint_connections_.end())
     return;
-  EndpointLink& link = it->second;
+  EndpointConnection& link = it->second;
   switch (link.decoder.OnLine(line)) {
     case platform::AnswerDecoder::Step::kMore:
       return;
@@ -238,13 +243,13 @@
 }
 
 void EntryService::OnEndpointClosed(ConnectionId id, const std::string& cause) {
-  const auto it = endpoints_.find(id);
-  if (it == endpoints_.end())
+  const auto it = endpoint_connections_.find(id);
+  if (it == endpoint_connections_.end())
     return;
   (void)cause;
   const bool started = it->second.started;
   const statements::Answer refusal = it->second.decoder.Take();
-  endpoints_.erase(it);
+  endpoint_connections_.erase(it);
   const Time now = SystemClock::Now();
   if (started)
     return proxy_.OnConnectionClosed(now, id);
@@ -259,23 +264,24 @@
   proxy_.Tick(now);
   if (!leader_.empty() && proxy_.holder().ReportDue(now))
     Report(now, leader_, false);
-  for (const auto& [name, view] : controllers_) {
-    if (view.linked && now - view.reported_at >= kPresenceInterval)
+  for (const auto& [name, state] : controllers_) {
+    if (state.linked && now - state.last_report_at >= kKeepaliveReportInterval)
       Report(now, name, false);
   }
   FetchDocument(now);
-  if (IsReady() != ready_told_) {
-    ready_told_ = !ready_told_;
-    log_.Event(ready_told_ ? "ready" : "not_ready",
-               {{"version", proxy_.Version()}});
+  if (IsReady() != last_logged_readiness_) {
+    last_logged_readiness_ = !last_logged_readiness_;
+    log_.LogEvent(last_logged_readiness_ ? "ready" : "not_ready",
+                  {{"version", proxy_.Version()}});
   }
-  DrainStep(now);
+  ContinueDrain(now);
   scheduler_.After(statements::StatementProxy::kTickInterval,
                    [this] { Tick(); });
 }
 
 bool EntryService::IsReady() const {
-  return drain_started_ == kNever && proxy_.Version() != 0 && endpoints_known_;
+  return drain_started_at_ == kNever && proxy_.Version() != 0 &&
+         endpoints_known_;
 }
 
 adapters::HttpResponse EntryService::HandleHttp(
@@ -294,48 +300,51 @@
 }
 
 void EntryService::BeginDrain(std::function<void()> done) {
-  if (drain_started_ != kNever)
+  if (drain_started_at_ != kNever)
     return;
-  drain_started_ = SystemClock::Now();
+  drain_started_at_ = SystemClock::Now();
   on_drained_ = std::move(done);
-  log_.Event("stop_requested", {{"sessions", callers_.size()}});
+  log_.LogEvent("stop_requested", {{"sessions", callers_.size()}});
 }
 
-// Callers still arrive until the balancer has seen two failed probes. Then idle
-// sessions are asked to close, and transactions have the first half of the
-// grace; nothing is cut that an endpoint works on.
-void EntryService::DrainStep(Time now) {
-  if (drain_started_ == kNever || !on_drained_)
+// Waits until the load balancer has seen two failed readiness probes. Then asks
+// idle sessions to close. Transactions may go on for the first half of the
+// grace period and are aborted after it; a statement that an endpoint is
+// executing is not interrupted.
+void EntryService::ContinueDrain(Time now) {
+  if (drain_started_at_ == kNever || !on_drained_)
     return;
-  if (now - drain_started_ < kRotationTime)
+  if (now - drain_started_at_ < kReadinessWithdrawalDelay)
     return;
-  if (!drain_announced_) {
-    drain_announced_ = true;
+  if (!proxy_drain_started_) {
+    proxy_drain_started_ = true;
     proxy_.BeginDrain(now);
   }
-  if (now - drain_started_ >= settings_.stop_grace / 2)
+  if (now - drain_started_at_ >= settings_.stop_grace / 2)
     proxy_.AbortTransactions(now);
-  const bool late = now - drain_started_ >= settings_.stop_grace * 5 / 6;
-  if (proxy_.SessionCount() > 0 && !late)
+  const bool grace_ending =
+      now - drain_started_at_ >= settings_.stop_grace * 5 / 6;
+  if (proxy_.SessionCount() > 0 && !grace_ending)
     return;
   proxy_.holder().Stop();
-  for (const auto& [name, view] : controllers_) {
+  for (const auto& [name, state] : controllers_) {
     messages::ProxyReport report;
-    report.process = process_;
+    report.process = process_id_;
     report.document_version = proxy_.Version();
     report.stopped = true;
     messages::PeerMessage message;
     message.__set_proxy_report(report);
     peers_->Send(name, message);
   }
-  log_.Event("stopped", {{"sessions", proxy_.SessionCount()}});
+  log_.LogEvent("stopped", {{"sessions", proxy_.SessionCount()}});
   scheduler_.After(milliseconds(50), std::exchange(on_drained_, nullptr));
 }
 
 void EntryService::OnSettings(const platform::BootSettings& settings) {
   settings_.controller_seeds = settings.controller_seeds;
   known_controllers_.merge(ControllerNames(settings));
-  log_.Event("settings_loaded", {{"seeds", settings.controller_seeds.size()}});
+  log_.LogEvent("settings_loaded",
+                {{"seeds", settings.controller_seeds.size()}});
   UpdatePeers();
 }
 
--- a/programs/goldcrestd/entry_service.h
+++ b/programs/goldcrestd/entry_service.h
@@ -23,8 +23,9 @@
 
 namespace goldcrest {
 
-//! The process that serves callers: sockets of callers and endpoints around a
-//! StatementProxy, and links to all controllers. Runs on one thread.
+//! The entry process, which serves the statement sessions of callers. Connects
+//! a StatementProxy to the sockets of callers and endpoints and to its links to
+//! all controllers. Runs on one thread.
 class EntryService {
  public:
   EntryService(boost::asio::io_context& context,
@@ -34,54 +35,57 @@
 
   void Start();
 
-  //! Starts a planned stop; `done` runs once no session is left.
+  //! Starts a planned stop; `done` runs once all sessions are closed or the
+  //! grace period is nearly over.
   void BeginDrain(std::function<void()> done);
 
-  //! Takes over changed settings; only the seeds may change.
+  //! Applies changed settings; only the controller seeds may change.
   void OnSettings(const platform::BootSettings& settings);
 
  private:
-  struct EndpointLink {
+  struct EndpointConnection {
     std::shared_ptr<adapters::LineSocket> socket;
     platform::AnswerDecoder decoder;
     bool started = false;
   };
-  struct ControllerView {
+  struct ControllerState {
     bool linked = false;
-    bool reported_first = false;
+    bool first_report_sent = false;
     std::int64_t version = 0;
-    Time reported_at;
+    Time last_report_at;
   };
 
   statements::ProxyHooks MakeHooks();
-  void AwaitCaller();
-  void OnCaller(boost::asio::ip::tcp::socket socket);
+  void AcceptNextCaller();
+  void OnCallerAccepted(boost::asio::ip::tcp::socket socket);
   void OnCallerLine(statements::SessionId id, std::string_view line);
   void CloseCaller(statements::SessionId id);
-  void OpenEndpoint(statements::ConnectionId id,
-                    const statements::ConnectionTarget& target);
+  void OpenEndpointConnection(statements::ConnectionId id,
+                              const statements::ConnectionTarget& target);
   void OnEndpointLine(statements::ConnectionId id, std::string_view line);
   void OnEndpointClosed(statements::ConnectionId id, const std::string& cause);
   void OnPeerMessage(const std::string& from,
                      const messages::PeerMessage& message);
-  void OnUpdate(const std::string& from, const messages::ProxyUpdate& update);
+  void OnProxyUpdate(const std::string& from,
+                     const messages::ProxyUpdate& update);
   void OnLink(const std::string& controller, bool up);
   void UpdatePeers();
   void Tick();
-  enum class Contacts { kInTurn, kNow };
-  void Report(Time now,
-              const std::string& controller,
-              bool wants_document,
-              Contacts contacts = Contacts::kInTurn);
+  enum class ContactReporting { kAtInterval, kImmediately };
+  void Report(
+      Time now,
+      const std::string& controller,
+      bool wants_document,
+      ContactReporting contact_reporting = ContactReporting::kAtInterval);
   void FetchDocument(Time now);
-  void DrainStep(Time now);
+  void ContinueDrain(Time now);
   bool IsReady() const;
   adapters::HttpResponse HandleHttp(const adapters::HttpRequest& request);
 
   boost::asio::io_context& context_;
   platform::BootSettings settings_;
   PlatformLog& log_;
-  std::int64_t process_;  // random, differs after a restart
+  std::int64_t process_id_;  // random, changes with each restart
   Time started_at_;
   adapters::Counters counters_;
   adapters::Scheduler scheduler_;
@@ -91,16 +95,16 @@
   std::map<statements::SessionId, std::shared_ptr<adapters::LineSocket>>
       callers_;
   std::set<statements::SessionId> started_sessions_;
-  std::map<statements::ConnectionId, EndpointLink> endpoints_;
+  std::map<statements::ConnectionId, EndpointConnection> endpoint_connections_;
   std::set<std::string> known_controllers_;
-  std::map<std::string, ControllerView> controllers_;
+  std::map<std::string, ControllerState> controllers_;
   std::string leader_;
-  Time contacts_told_;  // to the leader
+  Time contacts_reported_at_;  // to the leader
   routing::DocumentSource document_source_;
   bool endpoints_known_ = false;
-  bool ready_told_ = false;
-  Time drain_started_ = kNever;
-  bool drain_announced_ = false;
+  bool last_logged_readiness_ = false;
+  Time drain_started_at_ = kNever;
+  bool proxy_drain_started_ = false;
   std::function<void()> on_drained_;
   std::unique_ptr<adapters::PeerTransport> peers_;
   std::unique_ptr<adapters::HttpServer> http_;
--- a/programs/goldcrestd/entry_service_peers.cc
+++ b/programs/goldcrestd/entry_service_peers.cc
@@ -1,4 +1,4 @@
-// What an entry exchanges with controllers.
+// The messages between an entry and the controllers.
 
 #include <algorithm>
 #include <chrono>
@@ -14,36 +14,38 @@
 using adapters::SystemClock;
 using std::chrono::milliseconds;
 
-// Contacts with primaries, unless one fails or the leader asks: shorter than
-// the time for which the leader believes them.
-constexpr Duration kContactsInterval = milliseconds(1'000);
+// Interval at which the leader receives this entry's contacts with primaries; a
+// failing contact or a request of the leader sends them at once. Shorter than
+// the time after which the leader ignores a contact report.
+constexpr Duration kContactReportInterval = milliseconds(1'000);
 
 }  // namespace
 
 void EntryService::OnPeerMessage(const std::string& from,
                                  const messages::PeerMessage& message) {
   if (message.__isset.proxy_update)
-    OnUpdate(from, message.proxy_update);
+    OnProxyUpdate(from, message.proxy_update);
 }
 
 void EntryService::OnLink(const std::string& controller, bool up) {
-  ControllerView& view = controllers_[controller];
-  view.linked = up;
-  log_.Event(up ? "controller_found" : "controller_lost",
-             {{"controller", controller}});
-  // Changes that were sent while there was no link are lost.
-  view.reported_first = false;
+  ControllerState& state = controllers_[controller];
+  state.linked = up;
+  log_.LogEvent(up ? "controller_found" : "controller_lost",
+                {{"controller", controller}});
+  // Changes that the controller sent while the link was down are lost, so that
+  // the next report must request the whole state.
+  state.first_report_sent = false;
   if (up)
     Report(SystemClock::Now(), controller, false);
   if (!up && leader_ == controller)
     leader_.clear();
 }
 
-void EntryService::OnUpdate(const std::string& from,
-                            const messages::ProxyUpdate& update) {
+void EntryService::OnProxyUpdate(const std::string& from,
+                                 const messages::ProxyUpdate& update) {
   const Time now = SystemClock::Now();
-  ControllerView& view = controllers_[from];
-  view.version = std::max(view.version, update.document_version);
+  ControllerState& state = controllers_[from];
+  state.version = std::max(state.version, update.document_version);
   for (const std::string& name : update.controllers) {
     if (known_controllers_.insert(name).second)
       UpdatePeers();
@@ -54,7 +56,7 @@
     if (decoded.table)
       proxy_.OnRoutingTable(now, decoded.table);
     else
-      log_.Event("configuration_unreadable", {{"cause", decoded.problem}});
+      log_.LogEvent("configuration_unreadable", {{"cause", decoded.problem}});
   }
   for (const messages::EndpointRecord& record : update.endpoints)
     proxy_.OnEndpoint(now, record);
@@ -67,9 +69,9 @@
   if (update.report_sent_micros != 0) {
     endpoints_known_ = true;
     if (update.leader && leader_ != from) {
-      log_.Event("controller_leads", {{"controller", from}});
+      log_.LogEvent("controller_leads", {{"controller", from}});
       leader_ = from;
-      contacts_told_ = Time();
+      contacts_reported_at_ = Time();
       proxy_.holder().OnOwnerChange(now);
     } else if (!update.leader && leader_ == from) {
       leader_.clear();
@@ -82,15 +84,15 @@
     }
   }
   if (update.report_now)
-    Report(now, from, false, Contacts::kNow);
+    Report(now, from, false, ContactReporting::kImmediately);
   FetchDocument(now);
 }
 
 void EntryService::FetchDocument(Time now) {
   std::vector<routing::DocumentSource::Candidate> linked;
-  for (const auto& [name, view] : controllers_) {
-    if (view.linked)
-      linked.push_back({name, view.version});
+  for (const auto& [name, state] : controllers_) {
+    if (state.linked)
+      linked.push_back({name, state.version});
   }
   const std::string source =
       document_source_.NextController(now, proxy_.Version(), linked);
@@ -105,27 +107,27 @@
 void EntryService::Report(Time now,
                           const std::string& controller,
                           bool wants_document,
-                          Contacts contacts) {
+                          ContactReporting contact_reporting) {
   messages::ProxyReport report;
-  report.process = process_;
+  report.process = process_id_;
   report.sent_micros = ToMicros(now);
   report.document_version = proxy_.Version();
   report.wants_document = wants_document;
-  report.first = !controllers_[controller].reported_first;
+  report.first = !controllers_[controller].first_report_sent;
   report.quiet_micros = proxy_.holder().QuietFor(now, started_at_).count();
   if (controller == leader_) {
     report.shares = proxy_.holder().Report(now);
-    std::vector<messages::PrimaryContact> told = proxy_.Contacts(now);
-    const bool fails = std::ranges::any_of(
-        told, [](const auto& contact) { return contact.failing_ms > 0; });
-    if (fails || contacts == Contacts::kNow ||
-        now - contacts_told_ >= kContactsInterval) {
-      contacts_told_ = now;
-      report.contacts = std::move(told);
+    std::vector<messages::PrimaryContact> contacts = proxy_.Contacts(now);
+    const bool any_failing = std::ranges::any_of(
+        contacts, [](const auto& contact) { return contact.failing_ms > 0; });
+    if (any_failing || contact_reporting == ContactReporting::kImmediately ||
+        now - contacts_reported_at_ >= kContactReportInterval) {
+      contacts_reported_at_ = now;
+      report.contacts = std::move(contacts);
     }
   }
-  controllers_[controller].reported_at = now;
-  controllers_[controller].reported_first = true;
+  controllers_[controller].last_report_at = now;
+  controllers_[controller].first_report_sent = true;
   messages::PeerMessage message;
   message.__set_proxy_report(report);
   peers_->Send(controller, message);
--- a/programs/goldcrestd/main.cc
+++ b/programs/goldcrestd/main.cc
@@ -61,12 +61,13 @@
   return adapters::LogLevel::kInfo;
 }
 
-void ReportProblems(const std::vector<settings::Problem>& problems) {
+void PrintProblems(const std::vector<settings::Problem>& problems) {
   for (const settings::Problem& problem : problems)
     fmt::print(stderr, "{}\n", settings::ToString(problem));
 }
 
-// Runs until a planned stop has ended or the log has failed.
+// Runs the daemon until a planned stop is complete, its log can't be written or
+// a second signal arrives. Returns the exit code.
 int RunDaemon(Daemon& daemon) {
   std::promise<int> ended;
   std::once_flag once;
@@ -96,7 +97,7 @@
 leaf::result<int> Run(const std::string& config, bool bootstrap) {
   const settings::LoadedSettings loaded = settings::LoadSettings(config);
   if (!loaded.problems.empty()) {
-    ReportProblems(loaded.problems);
+    PrintProblems(loaded.problems);
     return EX_CONFIG;
   }
   const settings::DaemonSettings& settings = loaded.settings;
@@ -126,7 +127,7 @@
   if (arguments.at("check").asBool()) {
     const std::vector<settings::Problem> problems =
         settings::CheckSettings(config);
-    ReportProblems(problems);
+    PrintProblems(problems);
     if (problems.empty())
       fmt::print("{}: settings are valid\n", config);
     return problems.empty() ? EXIT_SUCCESS : EX_CONFIG;
--- a/programs/goldcrestd/operator_api.cc
+++ b/programs/goldcrestd/operator_api.cc
@@ -17,12 +17,12 @@
 using adapters::JsonWriter;
 
 constexpr std::size_t kMaxNameBytes = 128;
-constexpr std::size_t kMaxMembers = 17;
+constexpr std::size_t kMaxControlMembers = 17;
 constexpr std::size_t kMaxChangeBytes = std::size_t{4} << 20U;
-constexpr std::string_view kKeysPath = "/v1/keys/";
+constexpr std::string_view kKeysPathPrefix = "/v1/keys/";
 constexpr Duration kQueryTimeout = std::chrono::seconds(3);
 
-std::string ResultMember(ResultCode code, std::string_view message) {
+std::string ResultJson(ResultCode code, std::string_view message) {
   const ResultCodeInfo& info = InfoOf(code);
   JsonWriter json;
   json.BeginObject()
@@ -34,7 +34,7 @@
   return json.Take();
 }
 
-adapters::HttpResponse InvalidField(
+adapters::HttpResponse InvalidFieldResponse(
     const std::vector<adapters::JsonError>& errors) {
   return adapters::ResultResponse(ResultCode::kInvalidField,
                                   adapters::ToString(errors));
@@ -60,7 +60,8 @@
     HandleChange(request, std::move(respond));
   else if (route == "POST /v1/keys")
     HandleKeyIssue(request, std::move(respond));
-  else if (request.method == "DELETE" && request.path.starts_with(kKeysPath))
+  else if (request.method == "DELETE" &&
+           request.path.starts_with(kKeysPathPrefix))
     HandleKeyWithdrawal(request, std::move(respond));
   else if (route == "GET /v1/objects")
     HandleObjects(request, respond);
@@ -90,7 +91,7 @@
   for (const std::string& error : object_errors)
     errors.push_back({"objects", error});
   if (!errors.empty()) {
-    respond(InvalidField(errors));
+    respond(InvalidFieldResponse(errors));
     return;
   }
   if (adapters::QueryParameter(request.query, "dry_run") == "1")
@@ -114,7 +115,7 @@
       json.OptionalString("author", kMaxNameBytes).value_or("operator");
   const auto errors = json.Finish();
   if (!errors.empty()) {
-    respond(InvalidField(errors));
+    respond(InvalidFieldResponse(errors));
     return;
   }
   change.objects.push_back(key);
@@ -126,7 +127,7 @@
                                       Respond respond) {
   messages::Object key;
   key.kind = messages::ObjectKind::KEY;
-  key.name = request.path.substr(kKeysPath.size());
+  key.name = request.path.substr(kKeysPathPrefix.size());
   key.deleted = true;
   messages::Change change;
   change.change_id = adapters::QueryParameter(request.query, "change_id");
@@ -141,7 +142,7 @@
   const std::string kind = adapters::QueryParameter(request.query, "kind");
   const std::string name = adapters::QueryParameter(request.query, "name");
   JsonWriter json;
-  json.BeginObject().MemberRaw("result", ResultMember(ResultCode::kOk, ""));
+  json.BeginObject().MemberRaw("result", ResultJson(ResultCode::kOk, ""));
   hooks_.read_configuration(
       [&](const policy::Configuration& configuration, const auto&) {
         json.Member("revision", configuration.Revision()).BeginArray("objects");
@@ -163,7 +164,7 @@
   const std::string instance = json.RequiredString("instance", kMaxNameBytes);
   const auto errors = json.Finish();
   if (!errors.empty()) {
-    respond(InvalidField(errors));
+    respond(InvalidFieldResponse(errors));
     return;
   }
   if (hooks_.drain(instance))
@@ -178,12 +179,12 @@
   JsonObject json = JsonObject::Parse(request.body);
   messages::ProposeRequest proposal;
   proposal.__set_members(
-      json.OptionalStrings("members", kMaxMembers, kMaxNameBytes));
+      json.OptionalStrings("members", kMaxControlMembers, kMaxNameBytes));
   if (proposal.members.empty())
     json.AddError("members", "must name at least one instance");
   const auto errors = json.Finish();
   if (!errors.empty()) {
-    respond(InvalidField(errors));
+    respond(InvalidFieldResponse(errors));
     return;
   }
   Propose(proposal, std::move(respond));
@@ -197,8 +198,9 @@
   {
     const std::lock_guard lock(mutex_);
     query.id = static_cast<std::int64_t>(next_id_++);
-    queries_[query.id] = {std::move(respond), subject, path == "/v1/explain",
-                          adapters::SystemClock::Now() + kQueryTimeout};
+    pending_queries_[query.id] = {std::move(respond), subject,
+                                  path == "/v1/explain",
+                                  adapters::SystemClock::Now() + kQueryTimeout};
   }
   hooks_.query(query);
 }
@@ -214,18 +216,18 @@
   const ResultCode code = ResultCodeFromNumber(report.result.code);
   JsonWriter json;
   json.BeginObject()
-      .MemberRaw("result", ResultMember(code, report.result.message))
+      .MemberRaw("result", ResultJson(code, report.result.message))
       .Member("revision", report.result.revision);
-  const auto add = [&](std::string_view name,
-                       const std::vector<std::string>& values) {
+  const auto add_array = [&](std::string_view name,
+                             const std::vector<std::string>& values) {
     json.BeginArray(name);
     for (const std::string& value : values)
       json.Element(value);
     json.EndArray();
   };
-  add("customers", report.customers);
-  add("keys", report.keys);
-  add("endpoints", report.endpoints);
+  add_array("customers", report.customers);
+  add_array("keys", report.keys);
+  add_array("endpoints", report.endpoints);
   json.Member("callers_without_key", report.callers_without_key).EndObject();
   respond({.status = InfoOf(code).http_status, .body = json.Take()});
 }
@@ -243,17 +245,17 @@
   {
     const std::lock_guard lock(mutex_);
     id = next_id_++;
-    changes_[id] = std::move(respond);
+    pending_changes_[id] = std::move(respond);
   }
   hooks_.propose(id, request);
 }
 
-void OperatorApi::OnAnswer(std::uint64_t id,
-                           const messages::ProposeResponse& response) {
+void OperatorApi::OnProposalAnswer(std::uint64_t id,
+                                   const messages::ProposeResponse& response) {
   Respond respond;
   {
     const std::lock_guard lock(mutex_);
-    const auto node = changes_.extract(id);
+    const auto node = pending_changes_.extract(id);
     if (node.empty())
       return;
     respond = node.mapped();
@@ -261,7 +263,7 @@
   const ResultCode code = ResultCodeFromNumber(response.code);
   JsonWriter json;
   json.BeginObject()
-      .MemberRaw("result", ResultMember(code, response.message))
+      .MemberRaw("result", ResultJson(code, response.message))
       .Member("revision", response.revision)
       .BeginArray("missing");
   for (const std::string& instance : response.missing)
@@ -271,10 +273,10 @@
 }
 
 void OperatorApi::OnQueryAnswer(const messages::QueryResponse& response) {
-  Query query;
+  PendingQuery query;
   {
     const std::lock_guard lock(mutex_);
-    const auto node = queries_.extract(response.id);
+    const auto node = pending_queries_.extract(response.id);
     if (node.empty())
       return;
     query = node.mapped();
@@ -286,7 +288,7 @@
   }
   JsonWriter json;
   json.BeginObject()
-      .MemberRaw("result", ResultMember(code, ""))
+      .MemberRaw("result", ResultJson(code, ""))
       .MemberRaw("control", response.body);
   if (query.explain) {
     json.BeginArray("refusals_here");
@@ -310,11 +312,11 @@
   query.respond({.body = json.Take()});
 }
 
-void OperatorApi::Expire(Time now) {
+void OperatorApi::ExpireQueries(Time now) {
   std::vector<Respond> overdue;
   {
     const std::lock_guard lock(mutex_);
-    std::erase_if(queries_, [&](auto& entry) {
+    std::erase_if(pending_queries_, [&](auto& entry) {
       if (now < entry.second.deadline)
         return false;
       overdue.push_back(std::move(entry.second.respond));
--- a/programs/goldcrestd/operator_api.h
+++ b/programs/goldcrestd/operator_api.h
@@ -16,42 +16,46 @@
 
 namespace goldcrest {
 
-//! What the operator interface needs of the daemon.
+//! Functions of the daemon that the operator interface calls.
 struct OperatorApiHooks {
-  //! Starts a logged change; its answer comes through OnAnswer with this id.
+  //! Proposes a change to the replicated log; the answer arrives through
+  //! OnProposalAnswer() with this id.
   std::function<void(std::uint64_t id, const messages::ProposeRequest& request)>
       propose;
-  //! Asks the control leader; its answer comes through OnQueryAnswer.
+  //! Sends a query to the control leader; the answer arrives through
+  //! OnQueryAnswer().
   std::function<void(const messages::QueryRequest&)> query;
-  //! Calls back with this entry's copy of the configuration and endpoints.
+  //! Calls its argument with this entry's copy of the configuration and the
+  //! endpoints.
   std::function<void(
       const std::function<void(const policy::Configuration&,
                                const std::vector<messages::EndpointInfo>&)>&)>
       read_configuration;
-  //! False when there is no such instance.
+  //! Starts a planned stop of an instance; false if the instance is unknown.
   std::function<bool(const std::string& instance)> drain;
   const RefusalLog* refusals = nullptr;
 };
 
-//! The operators' HTTP interface. Safe from any thread.
+//! The operators' HTTP interface. Thread-safe.
 class OperatorApi {
  public:
   using Respond = adapters::HttpServer::Respond;
 
-  //! `token_digest`: SHA-256 of the operators' token.
+  //! `token_digest` is the SHA-256 digest of the operators' token.
   OperatorApi(std::string token_digest, OperatorApiHooks hooks);
 
   void Handle(const adapters::HttpRequest& request, Respond respond);
-  void OnAnswer(std::uint64_t id, const messages::ProposeResponse& response);
+  void OnProposalAnswer(std::uint64_t id,
+                        const messages::ProposeResponse& response);
   void OnQueryAnswer(const messages::QueryResponse& response);
-  //! Answers queries that have waited too long.
-  void Expire(Time now);
+  //! Answers the queries whose deadline has passed with kNotLeader.
+  void ExpireQueries(Time now);
 
  private:
-  struct Query {
+  struct PendingQuery {
     Respond respond;
-    std::string subject;  // explain: adds this instance's refusals
-    bool explain = false;
+    std::string subject;
+    bool explain = false;  // the answer includes this instance's refusals
     Time deadline;
   };
 
@@ -75,8 +79,8 @@
   OperatorApiHooks hooks_;
   std::mutex mutex_;
   std::uint64_t next_id_ = 1;
-  std::map<std::uint64_t, Respond> changes_;
-  std::map<std::int64_t, Query> queries_;
+  std::map<std::uint64_t, Respond> pending_changes_;
+  std::map<std::int64_t, PendingQuery> pending_queries_;
 };
 
 }  // namespace goldcrest
--- a/programs/goldcrestd/platform_log.cc
+++ b/programs/goldcrestd/platform_log.cc
@@ -22,12 +22,12 @@
   logger_ = std::make_shared<adapters::Logger>(options);
 }
 
-void PlatformLog::Event(std::string_view event,
-                        std::initializer_list<LogField> fields) {
+void PlatformLog::LogEvent(std::string_view event,
+                           std::initializer_list<LogField> fields) {
   logger_->Log(LogLevel::kInfo, event, ResultCode::kOk, fields);
 }
 
-void PlatformLog::Decided(const statements::Decision& decision) {
+void PlatformLog::LogDecision(const statements::Decision& decision) {
   std::uint64_t left_out = 0;
   const Time now = adapters::SystemClock::Now();
   if (!output_->Admit(now, decision.event, left_out))
--- a/programs/goldcrestd/platform_log.h
+++ b/programs/goldcrestd/platform_log.h
@@ -11,17 +11,20 @@
 
 namespace goldcrest {
 
-//! Structured lines on standard output, bounded by kind.
+//! Writes structured log lines to standard output. Limits the rate of decisions
+//! of each kind.
 class PlatformLog {
  public:
   PlatformLog(const std::string& instance, const std::string& zone);
 
-  //! Lines that are never left out: start, stop, a change of belief.
-  void Event(std::string_view event,
-             std::initializer_list<adapters::LogField> fields);
+  //! Logs an event that is never left out, such as a start, a stop or a change
+  //! of the known leader.
+  void LogEvent(std::string_view event,
+                std::initializer_list<adapters::LogField> fields);
 
-  //! A decision on a statement; repeats of its kind are bounded.
-  void Decided(const statements::Decision& decision);
+  //! Logs a decision on a statement unless too many of its kind were logged
+  //! recently; the next line that is logged counts those left out.
+  void LogDecision(const statements::Decision& decision);
 
   const std::shared_ptr<adapters::Logger>& logger() const { return logger_; }
 
--- a/programs/goldcrestd/platform_main.cc
+++ b/programs/goldcrestd/platform_main.cc
@@ -19,17 +19,19 @@
 
 namespace leaf = boost::leaf;
 
-constexpr const char* kLogCluster = "goldcrestcross";
+constexpr const char* kLogClusterName = "goldcrestcross";
 
-// The settings may change without a signal.
-constexpr Duration kSettingsInterval = std::chrono::seconds(2);
+// The platform may change the settings file without sending SIGHUP.
+constexpr Duration kSettingsPollInterval = std::chrono::seconds(2);
 
-// Runs a service until SIGTERM or SIGINT has stopped it. SIGHUP and a changed
-// settings file make it read its settings again.
+// Runs a service until SIGTERM or SIGINT has stopped it. Reloads the settings
+// on SIGHUP and at a fixed interval.
 template <typename Service>
-class Runner {
+class ServiceRunner {
  public:
-  Runner(boost::asio::io_context& context, Service& service, PlatformLog& log)
+  ServiceRunner(boost::asio::io_context& context,
+                Service& service,
+                PlatformLog& log)
       : context_(context),
         service_(service),
         log_(log),
@@ -38,47 +40,47 @@
         reload_signals_(context, SIGHUP) {}
 
   int Run() {
-    AwaitStop();
-    AwaitReload();
-    Poll();
+    AwaitStopSignal();
+    AwaitReloadSignal();
+    PollSettings();
     service_.Start();
-    log_.Event("started", {});
+    log_.LogEvent("started", {});
     context_.run();
-    return code_;
+    return exit_code_;
   }
 
-  void End(int code) {
-    code_ = code;
+  void Stop(int code) {
+    exit_code_ = code;
     context_.stop();
   }
 
  private:
-  void AwaitStop() {
+  void AwaitStopSignal() {
     stop_signals_.async_wait([this](boost::system::error_code error, int) {
       if (error)
         return;
-      service_.BeginDrain([this] { End(EXIT_SUCCESS); });
-      AwaitStop();
+      service_.BeginDrain([this] { Stop(EXIT_SUCCESS); });
+      AwaitStopSignal();
     });
   }
 
-  void AwaitReload() {
+  void AwaitReloadSignal() {
     reload_signals_.async_wait([this](boost::system::error_code error, int) {
       if (error)
         return;
-      Reload();
-      AwaitReload();
+      ReloadSettings();
+      AwaitReloadSignal();
     });
   }
 
-  void Poll() {
-    scheduler_.After(kSettingsInterval, [this] {
-      Reload();
-      Poll();
+  void PollSettings() {
+    scheduler_.After(kSettingsPollInterval, [this] {
+      ReloadSettings();
+      PollSettings();
     });
   }
 
-  void Reload() {
+  void ReloadSettings() {
     leaf::try_handle_all(
         [this]() -> leaf::result<void> {
           BOOST_LEAF_AUTO(settings, platform::LoadBootSettings());
@@ -89,10 +91,10 @@
           return {};
         },
         [this](const platform::BootError& error) {
-          log_.Event("settings_unreadable", {{"cause", error.message}});
+          log_.LogEvent("settings_unreadable", {{"cause", error.message}});
         },
         [this] {
-          log_.Event("settings_unreadable", {{"cause", "unknown"}});
+          log_.LogEvent("settings_unreadable", {{"cause", "unknown"}});
         });
   }
 
@@ -103,7 +105,7 @@
   boost::asio::signal_set stop_signals_;
   boost::asio::signal_set reload_signals_;
   std::vector<platform::SocketAddress> seeds_;
-  int code_ = EXIT_SUCCESS;
+  int exit_code_ = EXIT_SUCCESS;
 };
 
 leaf::result<int> TryEntry() {
@@ -111,7 +113,7 @@
   PlatformLog log(settings.instance + "/entry", settings.zone);
   boost::asio::io_context context(1);
   EntryService service(context, settings, log);
-  return Runner(context, service, log).Run();
+  return ServiceRunner(context, service, log).Run();
 }
 
 leaf::result<int> TryController() {
@@ -121,19 +123,19 @@
   if (!settings.data_folder.empty()) {
     storage::LogStoreOptions options;
     options.folder = settings.data_folder;
-    options.cluster = kLogCluster;
+    options.cluster = kLogClusterName;
     options.instance = settings.host;
     BOOST_LEAF_ASSIGN(opened, storage::LogStore::Open(options));
   }
   boost::asio::io_context context(1);
   ControllerService service(context, settings, std::move(opened), log);
-  Runner runner(context, service, log);
-  service.SetFailureHook([&] { runner.End(EX_IOERR); });
+  ServiceRunner runner(context, service, log);
+  service.SetFailureHook([&] { runner.Stop(EX_IOERR); });
   return runner.Run();
 }
 
-template <typename Try>
-int RunGuarded(Try run) {
+template <typename Function>
+int RunAndReportErrors(Function run) {
   return leaf::try_handle_all(
       run,
       [](const platform::BootError& error) {
@@ -155,11 +157,11 @@
 }  // namespace
 
 int RunEntry() {
-  return RunGuarded(TryEntry);
+  return RunAndReportErrors(TryEntry);
 }
 
 int RunController() {
-  return RunGuarded(TryController);
+  return RunAndReportErrors(TryController);
 }
 
 }  // namespace goldcrest
--- a/programs/goldcrestd/platform_main.h
+++ b/programs/goldcrestd/platform_main.h
@@ -3,11 +3,12 @@
 
 namespace goldcrest {
 
-//! Runs the process that serves callers until a planned stop has ended.
+//! Runs the entry process, which serves callers, until a planned stop is
+//! complete. Returns the exit code.
 int RunEntry();
 
-//! Runs the process that serves endpoints and operators until it is stopped or
-//! its log can't be written.
+//! Runs the controller process, which serves endpoints and operators, until a
+//! planned stop is complete or its log can't be written. Returns the exit code.
 int RunController();
 
 }  // namespace goldcrest
--- a/programs/goldcrestd/platform_peers.cc
+++ b/programs/goldcrestd/platform_peers.cc
@@ -5,18 +5,19 @@
 namespace goldcrest {
 namespace {
 
-constexpr const char* kCluster = "goldcrestcross";
+constexpr const char* kClusterName = "goldcrestcross";
 
-// Controllers elect within 400 to 800 ms, so that a link that went silent must
-// be replaced soon after.
+// Controllers elect a leader within 400 to 800 ms, so that a link without
+// traffic must be replaced soon after.
 constexpr std::chrono::milliseconds kPingInterval{400};
 constexpr std::chrono::milliseconds kSilenceTimeout{1'000};
 
-// Connecting and greeting takes two round trips of some 11 ms each.
+// Connecting and exchanging hellos takes two round trips of some 11 ms each.
 constexpr std::chrono::milliseconds kHelloTimeout{300};
 
-// After a restart of all instances, service waits for these links.
-constexpr std::chrono::milliseconds kMaxBackoff{150};
+// Short, because after a restart of all instances no statement is served until
+// these links are up.
+constexpr std::chrono::milliseconds kMaxReconnectBackoff{150};
 
 }  // namespace
 
@@ -31,7 +32,7 @@
   for (const platform::SocketAddress& seed : settings.controller_seeds)
     names.insert(
         seed.host + ":" +
-        std::to_string(settings.first_internal_port + kControllerOffset));
+        std::to_string(settings.first_internal_port + kControllerPortOffset));
   return names;
 }
 
@@ -50,7 +51,7 @@
     const platform::BootSettings& settings,
     std::uint16_t offset) {
   adapters::PeerTransportOptions options;
-  options.cluster = kCluster;
+  options.cluster = kClusterName;
   options.self.instance = PeerName(settings, offset);
   options.self.zone = settings.zone;
   options.self.host = settings.host;
@@ -60,7 +61,7 @@
   options.ping_interval = kPingInterval;
   options.silence_timeout = kSilenceTimeout;
   options.hello_timeout = kHelloTimeout;
-  options.max_backoff = kMaxBackoff;
+  options.max_backoff = kMaxReconnectBackoff;
   return options;
 }
 
--- a/programs/goldcrestd/platform_peers.h
+++ b/programs/goldcrestd/platform_peers.h
@@ -11,20 +11,21 @@
 
 namespace goldcrest {
 
-// A process is named by the address of its peer port, which is all that others
-// need to reach it. Both processes of an instance take a port of its internal
-// range.
-inline constexpr std::uint16_t kControllerOffset = 0;
-inline constexpr std::uint16_t kEntryOffset = 1;
-
-//! Name of the process whose port has this offset in the internal range.
+// The name of a process is the address of its peer port, so that its peers can
+// connect to it without a directory. The controller and the entry of an
+// instance use these ports of the instance's internal range.
+inline constexpr std::uint16_t kControllerPortOffset = 0;
+inline constexpr std::uint16_t kEntryPortOffset = 1;
+
+//! Name of this instance's process whose peer port has this offset in the
+//! internal range.
 std::string PeerName(const platform::BootSettings& settings,
                      std::uint16_t offset);
 
-//! Names of the controllers that the settings list.
+//! Names of the controllers in the settings' list of seeds.
 std::set<std::string> ControllerNames(const platform::BootSettings& settings);
 
-//! Where the named processes listen.
+//! Peer addresses of the named processes; names without a port are left out.
 std::map<std::string, adapters::PeerAddress> PeerAddresses(
     const std::set<std::string>& names);
 
--- a/programs/goldcrestd/refusal_log.cc
+++ b/programs/goldcrestd/refusal_log.cc
@@ -3,7 +3,8 @@
 namespace goldcrest {
 namespace {
 
-// Unknown group names come from callers, so the number of rows is bounded.
+// Callers can send any number of unknown group names, so the number of rows is
+// bounded.
 constexpr std::size_t kMaxRows = 2'000;
 
 }  // namespace
--- a/programs/goldcrestd/refusal_log.h
+++ b/programs/goldcrestd/refusal_log.h
@@ -12,9 +12,9 @@
 
 namespace goldcrest {
 
-//! Refusals of this instance, counted by code, customer and group, so that
-//! "why was this refused" can be answered without a log entry per request.
-//! Bounded; safe from any thread.
+//! Counts the refused requests of this instance by code, customer and group, so
+//! that operators can look up why requests were refused without a log line per
+//! request. The number of rows is bounded. Thread-safe.
 class RefusalLog {
  public:
   struct Row {
@@ -31,7 +31,8 @@
            const std::string& group,
            std::int64_t wall_ms);
 
-  //! Rows whose customer or group is `subject`; all rows if it is empty.
+  //! The rows whose customer or group is `subject`; all rows if `subject` is
+  //! empty.
   std::vector<Row> Rows(const std::string& subject) const;
 
  private:
