--- a/adapters/include/goldcrest/adapters/http_client.h
+++ b/adapters/include/goldcrest/adapters/http_client.h
@@ -39,9 +39,9 @@
 
 //! What is known about a call when it ends.
 enum class HttpDelivery {
-  kAnswered,  //!< A whole answer came.
-  kNotSent,   //!< No byte of the request left.
-  kUnknown,   //!< Bytes may have left, and no whole answer came.
+  kAnswered,  //!< A complete answer was received.
+  kNotSent,   //!< No byte of the request was sent.
+  kUnknown,   //!< Bytes may have been sent; no complete answer came.
 };
 
 struct HttpResult {
@@ -49,7 +49,7 @@
   int status = 0;           //!< When kAnswered.
   std::string body;         //!< When kAnswered.
   std::string error;        //!< Otherwise: the cause, for logs.
-  std::uint64_t epoch = 0;  //!< Of the connection; 0 when none was used.
+  std::uint64_t epoch = 0;  //!< Connection number; 0: none used.
 };
 
 //! Called exactly once, on a worker thread; must not block.
@@ -70,7 +70,7 @@
   virtual void Release() = 0;
 
   //! Closes the connection; a running call ends with kUnknown, or with kNotSent
-  //! when none of its bytes left.
+  //! when none of its bytes was sent.
   virtual void Close() = 0;
 
   virtual std::uint64_t Epoch() const = 0;
@@ -81,8 +81,8 @@
     std::function<void(std::shared_ptr<PinnedConnection>, std::string error)>;
 
 //! HTTP/1.1 connection pool to one address. One call at a time uses a
-//! connection; a timeout, a cut or a byte too many closes it, so an answer that
-//! arrives late is read as nobody's. Safe from any thread.
+//! connection. A timeout, a disconnect or unexpected bytes close it, so a late
+//! answer is never delivered to another call. Safe from any thread.
 class HttpClient {
  public:
   HttpClient(boost::asio::io_context& context, HttpClientOptions options);
--- a/adapters/include/goldcrest/adapters/http_server.h
+++ b/adapters/include/goldcrest/adapters/http_server.h
@@ -28,7 +28,7 @@
   std::chrono::milliseconds body_timeout{10'000};
   //! Between requests.
   std::chrono::milliseconds idle_timeout{60'000};
-  //! For the client to take an answer.
+  //! For writing an answer to the client.
   std::chrono::milliseconds write_timeout{10'000};
   //! How long a connection must have been idle to be closed in a drain.
   std::chrono::milliseconds drain_idle{500};
@@ -47,7 +47,7 @@
   using Handler = std::function<void(HttpRequest, Respond)>;
   //! Called once for each connection that ends: when it is closed or, before
   //! that, when the client stops sending. A client that has only stopped
-  //! sending still gets the answer that is due.
+  //! sending still gets its answer.
   using DisconnectHook = std::function<void(std::uint64_t connection)>;
 
   //! Throws std::system_error when the address can't be bound.
@@ -55,7 +55,7 @@
              HttpServerOptions options,
              Handler handler,
              DisconnectHook on_disconnect = {});
-  //! Closes everything. Handlers may still run until the io_context is stopped.
+  //! Calls Close(). Handlers may still run until the io_context is stopped.
   ~HttpServer();
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
@@ -73,7 +73,7 @@
   //! closed after `drain_idle`.
   void BeginDrain();
 
-  //! Closes all connections at once, whatever they are doing.
+  //! Closes the listener and all connections at once, even during a request.
   void Close();
 
   std::size_t OpenConnections() const;
--- a/adapters/include/goldcrest/adapters/line_socket.h
+++ b/adapters/include/goldcrest/adapters/line_socket.h
@@ -12,9 +12,9 @@
 
 namespace goldcrest::adapters {
 
-//! A TCP connection that carries lines ended by CR LF. Holds no read buffer
-//! while nothing is half received. Its hooks run on the thread that runs the
-//! io_context; it is used on that thread only.
+//! A TCP connection that carries lines terminated by CR LF. Holds a read buffer
+//! only while a line is received in part. Must be used only on the thread that
+//! runs the io_context; hooks run there too.
 class LineSocket : public std::enable_shared_from_this<LineSocket> {
  public:
   struct Hooks {
--- a/adapters/include/goldcrest/adapters/log_output.h
+++ b/adapters/include/goldcrest/adapters/log_output.h
@@ -10,9 +10,9 @@
 
 namespace goldcrest::adapters {
 
-//! Writes log lines to a descriptor without ever waiting for its reader, and
-//! bounds how many lines of one kind are written. What is left out is counted
-//! and told with the next line that goes out. Not thread-safe.
+//! Writes log lines to a file descriptor without blocking, and limits the rate
+//! of lines of each kind. Omitted lines are counted and reported with the next
+//! line written. Not thread-safe.
 class LogOutput {
  public:
   explicit LogOutput(int descriptor);
@@ -21,10 +21,10 @@
   //! number of lines of the kind that were not written since the last one.
   bool Admit(Time now, const std::string& kind, std::uint64_t& left_out);
 
-  //! Writes a whole line with its end, or drops it when the reader is behind.
+  //! Writes a whole line with its newline; drops it if the write would block.
   void Write(std::string_view line);
 
-  //! Lines lost because the reader was behind.
+  //! Lines dropped because the write would have blocked.
   std::uint64_t Dropped() const { return dropped_; }
 
   static constexpr std::int64_t kLinesPerSecond = 5;
@@ -39,8 +39,8 @@
 
   int descriptor_;
   std::uint64_t dropped_ = 0;
-  std::uint64_t dropped_told_ = 0;
-  bool in_line_ = false;  // a line was cut off in the middle
+  std::uint64_t dropped_reported_ = 0;
+  bool last_write_partial_ = false;  // the last line was written in part
   std::map<std::string, Bucket> buckets_;
 };
 
--- a/adapters/include/goldcrest/adapters/peer_transport.h
+++ b/adapters/include/goldcrest/adapters/peer_transport.h
@@ -33,8 +33,8 @@
   std::chrono::milliseconds ping_interval{250};
   //! A link without any received byte for this long is closed and replaced.
   std::chrono::milliseconds silence_timeout{1'000};
-  //! A link that is not up this long after it was begun is given up. Shorter
-  //! than a connection attempt to a machine that is about to start would wait.
+  //! A link that is not up this long after its start is closed. Shorter than
+  //! the TCP timeout of a connection attempt to an instance that is starting.
   std::chrono::milliseconds hello_timeout{1'000};
   std::chrono::milliseconds min_backoff{50};
   std::chrono::milliseconds max_backoff{500};
@@ -77,8 +77,8 @@
 
   std::uint16_t Port() const;
 
-  //! Replaces the address book. Outgoing links to removed peers and changed
-  //! addresses are closed; the own name is ignored.
+  //! Replaces the peer addresses. Outgoing links to removed peers and changed
+  //! addresses are closed; an entry for this instance is ignored.
   void SetPeers(const std::map<std::string, PeerAddress>& peers);
 
   //! Queues the message on a link to `to`, whichever side opened it. False when
--- a/adapters/internal/client_connection.h
+++ b/adapters/internal/client_connection.h
@@ -16,8 +16,8 @@
 
 namespace goldcrest::adapters {
 
-//! One outgoing connection, for one call at a time. Everything runs on the
-//! strand given.
+//! One outgoing connection, for one call at a time. All members run on the
+//! strand passed to the constructor.
 class ClientConnection : public std::enable_shared_from_this<ClientConnection> {
  public:
   //! `reusable` is true when the connection may take another call.
--- a/adapters/internal/http_connection.h
+++ b/adapters/internal/http_connection.h
@@ -15,7 +15,7 @@
 
 namespace goldcrest::adapters {
 
-//! What all connections of one server share. Outlives them.
+//! State shared by all connections of one server. Outlives them.
 struct HttpServerShared {
   HttpServerOptions options;
   HttpServer::Handler handler;
@@ -89,7 +89,7 @@
   bool wait_pending_ = false;
   bool header_done_ = false;
   bool continue_sent_ = false;
-  bool peer_stopped_ = false;  // the client sends no more
+  bool peer_stopped_ = false;  // the client has stopped sending
   bool request_counted_ = false;
   bool disconnect_reported_ = false;
   bool close_after_write_ = false;
--- a/adapters/internal/net.h
+++ b/adapters/internal/net.h
@@ -19,7 +19,7 @@
 using SteadyTimer = asio::
     basic_waitable_timer<SteadyClock, asio::wait_traits<SteadyClock>, Strand>;
 
-//! Shuts down and closes; errors are of no interest for a socket given up.
+//! Shuts down and closes the socket, ignoring errors.
 inline void CloseSocket(Socket& socket) {
   error_code ignored;
   socket.shutdown(Socket::shutdown_both, ignored);
--- a/adapters/internal/peer_link.h
+++ b/adapters/internal/peer_link.h
@@ -19,7 +19,7 @@
 
 class PeerLink;
 
-//! What all links of one transport share. Outlives them.
+//! State shared by all links of one transport. Outlives them.
 struct PeerLinkShared {
   PeerTransportOptions options;
   std::shared_ptr<Logger> logger;
@@ -74,7 +74,7 @@
   const std::shared_ptr<PeerLinkShared> shared_;
   const std::string expected_;
 
-  // On the strand.
+  // Accessed only on the strand.
   std::string peer_;
   std::string received_;
   std::vector<std::string> writing_;
--- a/adapters/src/client_connection.cc
+++ b/adapters/src/client_connection.cc
@@ -10,7 +10,7 @@
 
 namespace http = boost::beast::http;
 
-constexpr std::size_t kReadBytes = 16U << 10U;
+constexpr std::size_t kReadBufferBytes = 16U << 10U;
 
 }  // namespace
 
@@ -85,8 +85,8 @@
   buffer_.clear();
   timer_.expires_at(SystemClock::ToSteady(call.deadline));
   timer_.async_wait([self = shared_from_this(), number](error_code cancelled) {
-    // A wait that has ended can't be cancelled any more: the number tells
-    // whether it belongs to a call before this one.
+    // A completed wait can't be cancelled. The call number detects a handler of
+    // an earlier call.
     if (!cancelled && number == self->calls_)
       self->OnDeadline();
   });
@@ -98,8 +98,8 @@
 }
 
 void ClientConnection::OnWritten(error_code error, std::size_t size) {
-  // A write that fails or is cancelled reports the bytes that the kernel took:
-  // only with none of them did nothing leave.
+  // A failed or cancelled write reports how many bytes the kernel accepted. The
+  // request was not sent only if that number is 0.
   if (!error && state_ == State::kWriting) {
     state_ = State::kReading;
     Wait();
@@ -135,7 +135,7 @@
   if (state_ != State::kReading)
     return;
   error_code error;
-  buffer_.commit(socket_.read_some(buffer_.prepare(kReadBytes), error));
+  buffer_.commit(socket_.read_some(buffer_.prepare(kReadBufferBytes), error));
   if (error == asio::error::would_block) {
     Wait();
     return;
@@ -189,7 +189,7 @@
     return;
   if (close_cause_.empty())
     close_cause_ = "closed";
-  // The handler of a write in progress knows whether bytes left.
+  // During a write, its completion handler determines whether bytes were sent.
   CloseSocket(socket_);
   timer_.cancel();
   on_broken_ = nullptr;
--- a/adapters/src/counters.cc
+++ b/adapters/src/counters.cc
@@ -14,7 +14,8 @@
 constexpr std::string_view kGauge = "gauge";
 constexpr std::string_view kHistogram = "histogram";
 
-// Escapes as the exposition format asks: quotes only within label values.
+// Escapes text for the exposition format, which escapes quotes only in label
+// values.
 std::string Escape(std::string_view text, bool in_quotes) {
   std::string escaped;
   escaped.reserve(text.size());
@@ -30,7 +31,7 @@
   return escaped;
 }
 
-// The labels without braces: name="value",name="value".
+// Formats labels without braces: name="value",name="value".
 std::string Format(const Labels& labels) {
   std::string text;
   for (const auto& [name, value] : labels) {
--- a/adapters/src/http_client.cc
+++ b/adapters/src/http_client.cc
@@ -18,11 +18,11 @@
 
 using Connection = std::shared_ptr<ClientConnection>;
 
-// A call or a pin request that waits for a connection.
+// A call or pin request waiting for a connection.
 struct Job {
   HttpCall call;
   HttpCallback callback;
-  PinnedCallback pinned;  // set: a pin request
+  PinnedCallback pinned;  // set only for a pin request
   Time deadline;
   bool retried = false;
   std::optional<SteadyTimer> timer;
@@ -37,7 +37,7 @@
 
 }  // namespace
 
-// Everything runs on strand_, so there is no lock.
+// All members run on strand_, so no lock is needed.
 class HttpClient::Impl : public std::enable_shared_from_this<Impl> {
  public:
   Impl(asio::io_context& context, HttpClientOptions options)
@@ -54,8 +54,8 @@
   //! Returns a connection to the pool.
   void GiveBack(const Connection& connection);
   void Drop(const Connection& connection);
-  //! Closes idle connections that received nothing since `start`: what silenced
-  //! a call's connection may have silenced them as well.
+  //! Closes idle connections that received nothing since `start`, since the
+  //! network fault behind a call's timeout may affect them as well.
   void DropSilent(SteadyClock::time_point start);
 
  private:
@@ -85,7 +85,7 @@
   bool closed_ = false;
   std::uint64_t next_epoch_ = 1;
   std::size_t connecting_ = 0;
-  std::set<Connection> connections_;  // all of them
+  std::set<Connection> connections_;  // in any state
   std::vector<Idle> idle_;            // oldest first
   std::list<std::shared_ptr<Job>> waiting_;
   std::atomic<std::size_t> open_ = 0;
@@ -93,7 +93,7 @@
 
 namespace {
 
-// The calls of one pinned connection. Runs on the client's strand.
+// Runs the calls of one pinned connection on the client's strand.
 class PinnedCalls : public std::enable_shared_from_this<PinnedCalls> {
  public:
   PinnedCalls(std::shared_ptr<HttpClient::Impl> client, Connection connection)
@@ -217,7 +217,7 @@
   WaitForDeadline(job);
 }
 
-// Does nothing when the job has left the queue.
+// Has no effect if the job is no longer queued.
 void HttpClient::Impl::WaitForDeadline(const std::shared_ptr<Job>& job) {
   if (waiting_.empty() || waiting_.back() != job)
     return;
@@ -276,8 +276,8 @@
   --connecting_;
   if (closed_ || error) {
     Drop(connection);
-    // Each failed attempt ends one call, so that calls don't wait for their
-    // deadline while the address refuses connections.
+    // Each failed connection attempt ends one call, so that calls fail before
+    // their deadline while the address refuses connections.
     if (!waiting_.empty())
       FailNotSent(*TakeFirst(), "connect failed: " + error.message());
     Pump();
@@ -298,8 +298,8 @@
     return;
   }
   const auto start = SteadyClock::now();
-  // The call is kept for a retry only when the connection has been used, since
-  // a new one can't be stale.
+  // Keeps the call for a retry only on a reused connection, since a new
+  // connection can't be stale.
   HttpCall call = connection->AnsweredCalls() > 0 && !job->retried
                       ? job->call
                       : std::move(job->call);
@@ -352,8 +352,8 @@
         const auto is_broken = [&broken](const Idle& idle) {
           return idle.connection == broken;
         };
-        // A connection that is pinned but has no call is none of the pool's
-        // idle ones; its next call finds it unusable.
+        // A pinned connection without a call is not in the idle list. Its next
+        // call detects that it is unusable.
         if (std::erase_if(self->idle_, is_broken) > 0)
           self->Drop(broken);
       });
--- a/adapters/src/http_connection.cc
+++ b/adapters/src/http_connection.cc
@@ -11,14 +11,14 @@
 
 namespace http = boost::beast::http;
 
-constexpr std::size_t kReadBytes = 16U << 10U;
-// Bytes of later requests that are buffered while one is handled. Reading stops
-// there, so a client that sends without waiting for answers is held back.
+constexpr std::size_t kReadBufferBytes = 16U << 10U;
+// Limit of pipelined bytes buffered while a request is handled. Reading stops
+// at the limit, which applies back pressure to the client.
 constexpr std::size_t kMaxPipelinedBytes = 64U << 10U;
-// For how long a closing connection takes bytes. Closing with unread bytes
-// resets the connection, and the reset can destroy an answer not yet read.
+// How long a closing connection discards received bytes. Closing with unread
+// bytes resets the connection, and the client may lose an unread response.
 constexpr std::chrono::milliseconds kLingerTimeout{1'000};
-constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
+constexpr std::string_view kContinueResponse = "HTTP/1.1 100 Continue\r\n\r\n";
 
 ResultCode CodeFor(const error_code& error) {
   if (error == http::error::body_limit)
@@ -42,8 +42,8 @@
 
 }  // namespace
 
-// Delivers the first answer to one request. The last copy of the handler's
-// function destroys it, so a request that is never answered is noticed.
+// Sends the first response to one request. The destructor runs with the last
+// copy of the Respond function and answers a request without a response.
 class HttpConnection::Responder {
  public:
   Responder(std::shared_ptr<HttpConnection> connection, std::uint64_t request)
@@ -128,7 +128,8 @@
   Wait();
 }
 
-// Waits without a buffer, so that an idle connection holds none.
+// Waits for readability without a read buffer, so that idle connections hold no
+// buffer memory.
 void HttpConnection::Wait() {
   if (wait_pending_ || peer_stopped_)
     return;
@@ -147,7 +148,7 @@
   if (state_ == State::kLingering)
     buffer_.clear();
   error_code error;
-  buffer_.commit(socket_.read_some(buffer_.prepare(kReadBytes), error));
+  buffer_.commit(socket_.read_some(buffer_.prepare(kReadBufferBytes), error));
   if (error == asio::error::would_block) {
     Wait();
     return;
@@ -226,10 +227,10 @@
                              "100-continue"))
     return;
   continue_sent_ = true;
-  // A client whose receive window has no room for this goes on by itself after
-  // a while, so the result is of no interest.
+  // Ignores a failed write, as with a full receive window: the client sends the
+  // body without this response after its own timeout.
   error_code ignored;
-  socket_.write_some(asio::buffer(kContinue), ignored);
+  socket_.write_some(asio::buffer(kContinueResponse), ignored);
 }
 
 void HttpConnection::Dispatch() {
@@ -242,7 +243,7 @@
   request.peer_address = peer_address_;
   const auto responder =
       std::make_shared<Responder>(shared_from_this(), request_);
-  // Notices a client that goes away, and buffers pipelined requests.
+  // Detects a disconnected client and buffers pipelined requests.
   if (buffer_.size() < kMaxPipelinedBytes)
     Wait();
   shared_->handler(std::move(request), [responder](HttpResponse response) {
@@ -314,8 +315,8 @@
   ArmTimer();
 }
 
-// The timer is left alone when it fires early enough: a busy connection moves
-// its deadline several times for each request.
+// Does not rearm a timer that fires before the deadline: a busy connection
+// moves its deadline several times per request.
 void HttpConnection::ArmTimer() {
   if (armed_ <= deadline_)
     return;
--- a/adapters/src/http_server.cc
+++ b/adapters/src/http_server.cc
@@ -11,9 +11,9 @@
 namespace goldcrest::adapters {
 namespace {
 
-// Refused connections that may be open at a time, beyond max_connections.
-// Further ones are closed without an answer, since each costs a descriptor.
-constexpr std::size_t kMaxRefusals = 256;
+// Limit of open refused connections, in addition to max_connections. Further
+// connections are closed without a response, since each uses a file descriptor.
+constexpr std::size_t kMaxOpenRefusedConnections = 256;
 
 }  // namespace
 
@@ -76,7 +76,7 @@
     const std::uint64_t id = next_id_++;
     const std::size_t open = connections_.size();
     const std::size_t maximum = shared_->options.max_connections;
-    if (open >= maximum + kMaxRefusals)
+    if (open >= maximum + kMaxOpenRefusedConnections)
       return;
     auto connection =
         std::make_shared<HttpConnection>(id, std::move(socket), shared_);
--- a/adapters/src/json.cc
+++ b/adapters/src/json.cc
@@ -17,17 +17,17 @@
 }  // namespace
 
 struct JsonObject::Node {
-  Document* document = nullptr;          // which owns the node
-  const json::object* object = nullptr;  // null: the text is faulty
-  std::string path;                      // with a final dot, or empty
+  Document* document = nullptr;          // owns this node
+  const json::object* object = nullptr;  // null if the text is invalid
+  std::string path;                      // ends in a dot unless empty
   std::set<std::string, std::less<>> known;
 };
 
-// What the nested objects of one text share.
+// State shared by the nested objects of one JSON text.
 struct JsonObject::Document {
   json::value root;
   std::vector<JsonError> errors;
-  std::deque<Node> nodes;  // of the objects that were read
+  std::deque<Node> nodes;  // one for each object that was read
 };
 
 JsonObject::JsonObject(std::shared_ptr<Node> node) : node_(std::move(node)) {}
--- a/adapters/src/json_writer.cc
+++ b/adapters/src/json_writer.cc
@@ -85,7 +85,7 @@
 }
 
 JsonWriter& JsonWriter::Member(std::string_view name, double value) {
-  // JSON has no infinity and no NaN.
+  // JSON cannot represent infinity or NaN.
   return MemberRaw(name, std::isfinite(value) ? fmt::format("{}", value)
                                               : std::string("null"));
 }
--- a/adapters/src/line_socket.cc
+++ b/adapters/src/line_socket.cc
@@ -14,17 +14,18 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-constexpr std::size_t kReadBytes = std::size_t{16} << 10U;
+constexpr std::size_t kReadBufferBytes = std::size_t{16} << 10U;
 
-// Sent bytes that the peer's machine does not acknowledge for this long end the
-// connection: it lost power or is cut off. The same for idle probes.
-constexpr std::chrono::milliseconds kUnacknowledged{4'000};
-constexpr int kProbeIdleSeconds = 3;
-constexpr int kProbeIntervalSeconds = 1;
-constexpr int kProbeCount = 3;
+// Sent bytes or keepalive probes that stay unacknowledged for this long end the
+// connection: the peer's host lost power or is unreachable.
+constexpr std::chrono::milliseconds kUnacknowledgedTimeout{4'000};
+constexpr int kKeepaliveIdleSeconds = 3;
+constexpr int kKeepaliveIntervalSeconds = 1;
+constexpr int kKeepaliveProbeCount = 3;
 
 void SetOption(tcp::socket& socket, int name, int value) {
-  // A socket without the option still works; its loss shows later.
+  // Errors are ignored: without the option the socket works, but a lost peer is
+  // detected later.
   ::setsockopt(socket.native_handle(), IPPROTO_TCP, name, &value,
                sizeof(value));
 }
@@ -77,10 +78,10 @@
   socket_.set_option(tcp::no_delay(true), ignored);
   socket_.set_option(asio::socket_base::keep_alive(true), ignored);
   SetOption(socket_, TCP_USER_TIMEOUT,
-            static_cast<int>(kUnacknowledged.count()));
-  SetOption(socket_, TCP_KEEPIDLE, kProbeIdleSeconds);
-  SetOption(socket_, TCP_KEEPINTVL, kProbeIntervalSeconds);
-  SetOption(socket_, TCP_KEEPCNT, kProbeCount);
+            static_cast<int>(kUnacknowledgedTimeout.count()));
+  SetOption(socket_, TCP_KEEPIDLE, kKeepaliveIdleSeconds);
+  SetOption(socket_, TCP_KEEPINTVL, kKeepaliveIntervalSeconds);
+  SetOption(socket_, TCP_KEEPCNT, kKeepaliveProbeCount);
   AwaitRead();
 }
 
@@ -96,8 +97,8 @@
 }
 
 void LineSocket::OnReadable() {
-  // Shared by all sockets of the thread: it is empty between two calls.
-  thread_local std::array<char, kReadBytes> buffer;
+  // Shared by all sockets of the thread, since it holds no data between calls.
+  thread_local std::array<char, kReadBufferBytes> buffer;
   error_code error;
   const std::size_t count = socket_.read_some(asio::buffer(buffer), error);
   if (error == asio::error::would_block)
@@ -112,7 +113,8 @@
 }
 
 void LineSocket::Consume(std::string_view bytes) {
-  // Lines are handed out of a copy: a hook may run another socket's read.
+  // Passes lines from a copy, since a hook may run the read of another socket,
+  // which overwrites the shared buffer.
   std::string text = std::exchange(partial_, {});
   text.append(bytes);
   std::size_t begin = 0;
@@ -194,8 +196,8 @@
     closed(cause);
 }
 
-// Calls the hook from the event loop: the caller is in the middle of a step and
-// may hold what the hook takes away.
+// Calls the hook from the event loop, since the hook may destroy objects that
+// the caller still uses.
 void LineSocket::FailLater(std::string cause) {
   queued_.clear();
   asio::post(socket_.get_executor(),
@@ -215,7 +217,8 @@
   error_code ignored;
   socket_.shutdown(tcp::socket::shutdown_both, ignored);
   socket_.close(ignored);
-  // The hooks may own this socket; they go once the running one has returned.
+  // The hooks may own this socket, so they are destroyed after the running hook
+  // has returned.
   asio::post(socket_.get_executor(),
              [self = shared_from_this()] { self->hooks_ = {}; });
 }
--- a/adapters/src/listener.cc
+++ b/adapters/src/listener.cc
@@ -7,8 +7,9 @@
 namespace goldcrest::adapters {
 namespace {
 
-// Accepting fails while the process has no free descriptor.
-constexpr std::chrono::milliseconds kAcceptRetry{100};
+// Delay before the next accept after a failure, such as when the process has no
+// free file descriptor.
+constexpr std::chrono::milliseconds kAcceptRetryDelay{100};
 
 }  // namespace
 
@@ -39,7 +40,7 @@
   Accept();
 }
 
-// With mutex_ held.
+// Requires mutex_.
 void Listener::Accept() {
   if (!accepting_)
     return;
@@ -60,7 +61,7 @@
     Accept();
     return;
   }
-  retry_.expires_after(kAcceptRetry);
+  retry_.expires_after(kAcceptRetryDelay);
   retry_.async_wait([self = shared_from_this()](error_code cancelled) {
     if (cancelled)
       return;
--- a/adapters/src/log_output.cc
+++ b/adapters/src/log_output.cc
@@ -9,7 +9,7 @@
 namespace goldcrest::adapters {
 namespace {
 
-constexpr Duration kLineCost =
+constexpr Duration kCreditPerLine =
     Duration(std::chrono::seconds(1)) / LogOutput::kLinesPerSecond;
 
 }  // namespace
@@ -25,37 +25,37 @@
                       std::uint64_t& left_out) {
   const auto [it, inserted] = buckets_.try_emplace(kind);
   Bucket& bucket = it->second;
-  const Duration full = kLineCost * kBurstLines;
+  const Duration full = kCreditPerLine * kBurstLines;
   if (inserted)
     bucket.credit = full;
   else
     bucket.credit = std::min(full, bucket.credit + (now - bucket.refilled_at));
   bucket.refilled_at = now;
-  if (bucket.credit < kLineCost) {
+  if (bucket.credit < kCreditPerLine) {
     ++bucket.left_out;
     return false;
   }
-  bucket.credit -= kLineCost;
+  bucket.credit -= kCreditPerLine;
   left_out = std::exchange(bucket.left_out, 0);
   return true;
 }
 
 void LogOutput::Write(std::string_view line) {
   std::string text;
-  if (in_line_)
+  if (last_write_partial_)
     text = "\n";
-  if (dropped_ != dropped_told_)
+  if (dropped_ != dropped_reported_)
     text += "event=log_lines_dropped count=" +
-            std::to_string(dropped_ - dropped_told_) + "\n";
+            std::to_string(dropped_ - dropped_reported_) + "\n";
   text.append(line);
   const ssize_t written = ::write(descriptor_, text.data(), text.size());
   if (written <= 0) {
     ++dropped_;
     return;
   }
-  dropped_told_ = dropped_;
-  in_line_ = static_cast<std::size_t>(written) < text.size();
-  if (in_line_)
+  dropped_reported_ = dropped_;
+  last_write_partial_ = static_cast<std::size_t>(written) < text.size();
+  if (last_write_partial_)
     ++dropped_;
 }
 
--- a/adapters/src/logger.cc
+++ b/adapters/src/logger.cc
@@ -15,7 +15,7 @@
 namespace goldcrest::adapters {
 namespace {
 
-// Fields by these names could carry a caller's key, token or data.
+// Fields with these names may contain a caller's key, token or data.
 constexpr std::array<std::string_view, 7> kSecretFields = {
     "authorization", "body", "key", "secret", "statement", "token", "value"};
 
@@ -108,8 +108,8 @@
     sink_(text);
     return;
   }
-  // Standard error is unbuffered, so this is one write, and stdio's lock keeps
-  // lines of several threads apart.
+  // Standard error is unbuffered, so each line is one write; the stdio lock
+  // prevents lines of concurrent threads from interleaving.
   fmt::print(stderr, "{}", text);
 }
 
--- a/adapters/src/peer_link.cc
+++ b/adapters/src/peer_link.cc
@@ -15,19 +15,20 @@
 namespace {
 
 constexpr std::int32_t kProtocolVersion = 1;
-constexpr std::size_t kLengthBytes = 4;
-constexpr std::size_t kReadBytes = 64U << 10U;
-// A Hello is small; bytes of a peer not yet known must not fill the memory.
+constexpr std::size_t kFrameLengthBytes = 4;
+constexpr std::size_t kReadBufferBytes = 64U << 10U;
+// A Hello is small. The limit bounds the memory that a peer can occupy before
+// it has sent a valid Hello.
 constexpr std::size_t kMaxHelloBytes = 64U << 10U;
-// Frames that one write takes: enough to use a segment well, few enough to keep
-// the list of buffers below the limit of one system call.
+// Maximum frames per gathered write: enough to fill TCP segments, few enough to
+// stay below the buffer limit of one system call.
 constexpr std::size_t kMaxFramesPerWrite = 64;
 
 }  // namespace
 
 std::string ToFrame(const messages::PeerMessage& message) {
   const std::string bytes = messages::Encode(message);
-  std::string frame(kLengthBytes, '\0');
+  std::string frame(kFrameLengthBytes, '\0');
   boost::endian::store_big_u32(reinterpret_cast<unsigned char*>(frame.data()),
                                static_cast<std::uint32_t>(bytes.size()));
   return frame += bytes;
@@ -100,7 +101,7 @@
   return true;
 }
 
-// With mutex_ held.
+// Requires mutex_.
 void PeerLink::Queue(std::string frame) {
   queued_bytes_ += frame.size();
   queue_.push_back(std::move(frame));
@@ -115,15 +116,16 @@
   Queue(ToFrame(message));
 }
 
-// For ping and pong: messages that wait show the peer as much, and a peer that
-// sends pings without reading must not fill the queue.
+// Sends a ping or pong only if the queue is empty: queued messages prove
+// liveness as well, and a peer that sends pings without reading must not fill
+// the queue.
 void PeerLink::SendWhenIdle(const messages::PeerMessage& message) {
   const std::lock_guard lock(mutex_);
   if (queue_.empty())
     Queue(ToFrame(message));
 }
 
-// flush_pending_ stays set while a write runs, so there is one at a time.
+// flush_pending_ stays set during a write, so only one write runs at a time.
 void PeerLink::Flush() {
   {
     const std::lock_guard lock(mutex_);
@@ -166,7 +168,7 @@
 }
 
 void PeerLink::OnReadable() {
-  std::array<char, kReadBytes> bytes;
+  std::array<char, kReadBufferBytes> bytes;
   error_code error;
   const std::size_t size = socket_.read_some(asio::buffer(bytes), error);
   if (error == asio::error::would_block) {
@@ -186,7 +188,7 @@
 
 void PeerLink::ReadFrames() {
   std::size_t position = 0;
-  while (!closed_ && received_.size() - position >= kLengthBytes) {
+  while (!closed_ && received_.size() - position >= kFrameLengthBytes) {
     const std::size_t length = boost::endian::load_big_u32(
         reinterpret_cast<const unsigned char*>(received_.data() + position));
     const std::size_t limit =
@@ -196,20 +198,21 @@
            "frame of " + std::to_string(length) + " bytes");
       return;
     }
-    if (received_.size() - position - kLengthBytes < length)
+    if (received_.size() - position - kFrameLengthBytes < length)
       break;
-    if (!OnFrame(std::string_view(received_).substr(position + kLengthBytes,
-                                                    length)))
+    if (!OnFrame(std::string_view(received_).substr(
+            position + kFrameLengthBytes, length)))
       return;
-    position += kLengthBytes + length;
+    position += kFrameLengthBytes + length;
   }
   received_.erase(0, position);
-  // A large frame must not leave its memory with an idle link.
+  // Releases the memory of a large frame, so that an idle link does not keep
+  // it.
   if (received_.empty())
     received_.shrink_to_fit();
 }
 
-// False when the link was shut.
+// Returns false if the link was closed.
 bool PeerLink::OnFrame(std::string_view bytes) {
   auto message = messages::DecodePeerMessage(bytes);
   if (!message) {
@@ -291,8 +294,8 @@
     return;
   }
   if (up_ && now - last_received_ >= timeout) {
-    // After a pause of this process, bytes may wait in the socket that the
-    // reactor has not reported yet.
+    // After a pause of this process, the socket may hold received bytes that
+    // the reactor has not reported yet.
     error_code error;
     if (socket_.available(error) == 0) {
       Shut(ResultCode::kOk, "silent");
--- a/adapters/src/peer_transport.cc
+++ b/adapters/src/peer_transport.cc
@@ -12,7 +12,7 @@
 
 using Link = std::shared_ptr<PeerLink>;
 
-// Lock order: mutex_, then the mutex of a link. Hooks run without locks.
+// Lock order: mutex_ before PeerLink::mutex_. Hooks run without locks.
 class PeerTransport::Impl : public std::enable_shared_from_this<Impl> {
  public:
   Impl(asio::io_context& context,
@@ -42,10 +42,10 @@
  private:
   struct Outgoing {
     PeerAddress address;
-    Link link;  // null while the next attempt is awaited
+    Link link;  // null until the next connection attempt
     std::chrono::milliseconds backoff{0};
     std::shared_ptr<SteadyTimer> timer;
-    std::string last_cause;  // logged when it changes
+    std::string last_cause;  // logged only on change
   };
 
   void OnSocket(Socket socket);
@@ -128,7 +128,7 @@
     peer.link->Close("removed from the address book");
 }
 
-// With mutex_ held.
+// Requires mutex_.
 void PeerTransport::Impl::Connect(const std::string& name, Outgoing& peer) {
   error_code error;
   const auto address = asio::ip::make_address(peer.address.host, error);
@@ -142,7 +142,7 @@
   peer.link->StartOutgoing({address, peer.address.port});
 }
 
-// With mutex_ held.
+// Requires mutex_.
 void PeerTransport::Impl::Reconnect(const std::string& name, Outgoing& peer) {
   const PeerTransportOptions& options = shared_->options;
   peer.link = nullptr;
@@ -227,7 +227,7 @@
                            {{"peer", to}, {"bytes", frame.size()}});
     return false;
   }
-  // The newest link is the least likely to have gone silent unnoticed.
+  // The newest link is the least likely to be broken without detection.
   return std::any_of(links.rbegin(), links.rend(),
                      [&frame](const Link& link) { return link->Send(frame); });
 }
@@ -241,7 +241,8 @@
   return peers;
 }
 
-// Posted with mutex_ held, so that the calls are in the order of the changes.
+// Posts the hook with mutex_ held, so that hooks run in the order of the
+// changes.
 void PeerTransport::Impl::PostHook(const std::string& instance, bool up) {
   if (!on_link_)
     return;
--- a/adapters/src/scheduler.cc
+++ b/adapters/src/scheduler.cc
@@ -46,8 +46,8 @@
     if (error || !alive)
       return;
     {
-      // Cancel() and the destructor remove the entry: the one who removes it
-      // decides whether the task runs.
+      // Cancel() and the destructor also remove the entry. The task runs only
+      // if the entry is still present here.
       const std::lock_guard guard(alive->mutex);
       if (alive->timers.erase(id) == 0)
         return;
--- a/adapters/src/system_clock.cc
+++ b/adapters/src/system_clock.cc
@@ -5,14 +5,14 @@
 namespace goldcrest::adapters {
 namespace {
 
-// Longer waits count as endless: kNever would overflow in nanoseconds.
-constexpr Duration kLongest = std::chrono::hours(24 * 365);
+// Longer waits never expire. Converting kNever to nanoseconds would overflow.
+constexpr Duration kMaxFiniteWait = std::chrono::hours(24 * 365);
 
 }  // namespace
 
 Time SystemClock::Now() {
-  // The steady clock stands still while the machine is suspended, so that a
-  // lease would seem to hold after it has lapsed.
+  // CLOCK_MONOTONIC stops while the instance is suspended, so an expired lease
+  // would still appear valid after resume.
   timespec now{};
   ::clock_gettime(CLOCK_BOOTTIME, &now);
   return Time(
@@ -26,8 +26,8 @@
 }
 
 std::chrono::steady_clock::time_point SystemClock::ToSteady(Time time) {
-  const Duration left = time >= kNever ? kLongest : time - Now();
-  if (left >= kLongest)
+  const Duration left = time >= kNever ? kMaxFiniteWait : time - Now();
+  if (left >= kMaxFiniteWait)
     return std::chrono::steady_clock::time_point::max();
   return std::chrono::steady_clock::now() + left;
 }
--- a/adapters/tests/http_client_test.cc
+++ b/adapters/tests/http_client_test.cc
@@ -18,11 +18,11 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::chrono::seconds kLong{10};
+constexpr std::chrono::seconds kCallTimeout{10};
 constexpr int kCalls = 40;
-constexpr std::string_view kEnd = "\r\n\r\n";
+constexpr std::string_view kHeaderEnd = "\r\n\r\n";
 
-HttpCall MakeCall(std::string path, Duration timeout = kLong) {
+HttpCall MakeCall(std::string path, Duration timeout = kCallTimeout) {
   return {.method = "GET",
           .path = std::move(path),
           .deadline = SystemClock::Now() + timeout};
@@ -33,7 +33,7 @@
          "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-// The end of one call.
+// Waits for the result of one call.
 class Pending {
  public:
   Pending() : promise_(std::make_shared<std::promise<HttpResult>>()) {}
@@ -44,7 +44,7 @@
   }
   HttpResult Get() const {
     auto future = promise_->get_future();
-    REQUIRE(future.wait_for(kLong * 2) == std::future_status::ready);
+    REQUIRE(future.wait_for(kCallTimeout * 2) == std::future_status::ready);
     return future.get();
   }
 
@@ -68,11 +68,11 @@
     return pending;
   }
 
-  // One answered call, whose connection is then idle.
+  // Completes one call and leaves its connection idle.
   RawSocket Warm() const {
     const Pending pending = Call(MakeCall("/warm"));
     RawSocket server = listener.Accept();
-    server.ReadUntil(kEnd);
+    server.ReadUntil(kHeaderEnd);
     server.Send(Answer("warm"));
     CHECK(pending.Get().body == "warm");
     return server;
@@ -80,7 +80,7 @@
 
   std::shared_ptr<PinnedConnection> Pin() const {
     std::promise<std::shared_ptr<PinnedConnection>> promise;
-    client->OpenPinned(SystemClock::Now() + kLong,
+    client->OpenPinned(SystemClock::Now() + kCallTimeout,
                        [&](auto pinned, const std::string&) {
                          promise.set_value(std::move(pinned));
                        });
@@ -94,7 +94,7 @@
 
 }  // namespace
 
-TEST_CASE("A connection is kept and used for the next call", "[adapters]") {
+TEST_CASE("A connection is reused for the next call", "[adapters]") {
   const Fixture fixture;
   const RawSocket server = fixture.Warm();
   HttpCall call = MakeCall("/v1/statement");
@@ -116,7 +116,8 @@
   CHECK(fixture.client->OpenConnections() == 1);
 }
 
-TEST_CASE("kNotSent is said only when no byte left", "[adapters][guarantee]") {
+TEST_CASE("kNotSent is reported only if no byte was sent",
+          "[adapters][guarantee]") {
   Fixture fixture({.max_connections = 1, .max_waiting = 1});
   SECTION("The address refuses connections") {
     fixture.listener.Close();
@@ -124,7 +125,7 @@
   SECTION("The deadline passes while the only connection is busy") {
     const Pending first = fixture.Call(MakeCall("/first"));
     const RawSocket server = fixture.listener.Accept();
-    server.ReadUntil(kEnd);
+    server.ReadUntil(kHeaderEnd);
     const Pending late = fixture.Call(MakeCall("/late", 50ms));
     CHECK(late.Get().delivery == HttpDelivery::kNotSent);
     server.Send(Answer("first", "Connection: close\r\n"));
@@ -135,7 +136,7 @@
   SECTION("Too many calls wait") {
     const Pending first = fixture.Call(MakeCall("/first"));
     const RawSocket server = fixture.listener.Accept();
-    server.ReadUntil(kEnd);
+    server.ReadUntil(kHeaderEnd);
     const Pending waiting = fixture.Call(MakeCall("/waiting"));
     CHECK(fixture.Call(MakeCall("/refused")).Get().delivery ==
           HttpDelivery::kNotSent);
@@ -153,7 +154,7 @@
   CHECK_FALSE(result.error.empty());
 }
 
-TEST_CASE("A call cut off after bytes left ends as unknown",
+TEST_CASE("A call interrupted after bytes were sent ends as unknown",
           "[adapters][guarantee]") {
   Fixture fixture({.max_connections = 1, .max_body_bytes = 100});
   HttpCall call = MakeCall("/cut");
@@ -171,13 +172,13 @@
       server.Close();
     };
   }
-  SECTION("An answer whose end is only the connection's") {
+  SECTION("An answer that ends only with the connection") {
     cut = [](RawSocket& server) {
       server.Send("HTTP/1.1 200 OK\r\n\r\nmaybe all");
       server.Close();
     };
   }
-  SECTION("No HTTP") {
+  SECTION("An answer that is not HTTP") {
     cut = [](RawSocket& server) { server.Send("nonsense\r\n\r\n"); };
   }
   SECTION("An answer larger than allowed") {
@@ -197,13 +198,13 @@
   const Pending pending = fixture.Call(call);
   RawSocket server = fixture.listener.Accept();
   if (whole)
-    server.ReadUntil(kEnd);
+    server.ReadUntil(kHeaderEnd);
   cut(server);
   CHECK(pending.Get().delivery == HttpDelivery::kUnknown);
   // The connection is not used again.
   const Pending next = fixture.Call(MakeCall("/next"));
   const RawSocket fresh = fixture.listener.Accept();
-  CHECK(fresh.ReadUntil(kEnd).starts_with("GET /next "));
+  CHECK(fresh.ReadUntil(kHeaderEnd).starts_with("GET /next "));
   fresh.Send(Answer("next"));
   CHECK(next.Get().body == "next");
 }
@@ -213,28 +214,27 @@
   Fixture fixture({.max_connections = 1});
   const Pending slow = fixture.Call(MakeCall("/slow", 50ms));
   const RawSocket first = fixture.listener.Accept();
-  first.ReadUntil(kEnd);
+  first.ReadUntil(kHeaderEnd);
   CHECK(slow.Get().delivery == HttpDelivery::kUnknown);
   const Pending next = fixture.Call(MakeCall("/next"));
-  // In vain when the client has closed the connection, as it must.
+  // Has no effect if the client has closed the connection, as it must.
   try {
     first.Send(Answer("late"));
   } catch (const std::runtime_error&) {
   }
   const RawSocket second = fixture.listener.Accept();
-  second.ReadUntil(kEnd);
+  second.ReadUntil(kHeaderEnd);
   second.Send(Answer("own"));
   const HttpResult result = next.Get();
   CHECK(result.body == "own");
   CHECK(result.epoch == 2);
 }
 
-TEST_CASE("Bytes that nobody asked for close their connection",
-          "[adapters][guarantee]") {
+TEST_CASE("Unsolicited bytes close the connection", "[adapters][guarantee]") {
   Fixture fixture({.max_connections = 1});
   const Pending first = fixture.Call(MakeCall("/first"));
   const RawSocket server = fixture.listener.Accept();
-  server.ReadUntil(kEnd);
+  server.ReadUntil(kHeaderEnd);
   SECTION("Together with the answer") {
     server.Send(Answer("first") + Answer("extra"));
     CHECK(first.Get().body == "first");
@@ -246,19 +246,19 @@
   }
   const Pending next = fixture.Call(MakeCall("/next"));
   const RawSocket second = fixture.listener.Accept();
-  second.ReadUntil(kEnd);
+  second.ReadUntil(kHeaderEnd);
   second.Send(Answer("own"));
   CHECK(next.Get().body == "own");
 }
 
-TEST_CASE("A stale idle connection costs no call", "[adapters]") {
+TEST_CASE("A stale idle connection fails no call", "[adapters]") {
   const Fixture fixture;
   RawSocket server = fixture.Warm();
-  // Sent before the client can have noticed the end of the old connection.
+  // Sent before the client can detect that the old connection was closed.
   server.Close();
   const Pending next = fixture.Call(MakeCall("/next"));
   const RawSocket fresh = fixture.listener.Accept();
-  fresh.ReadUntil(kEnd);
+  fresh.ReadUntil(kHeaderEnd);
   fresh.Send(Answer("next"));
   CHECK(next.Get().body == "next");
 }
@@ -278,7 +278,7 @@
   const Pending two = fixture.Call(MakeCall("/2"));
   const RawSocket second = fixture.listener.Accept();
   for (const RawSocket* server : {&first, &second}) {
-    server->ReadUntil(kEnd);
+    server->ReadUntil(kHeaderEnd);
     server->Send(Answer("x"));
   }
   one.Get();
@@ -306,7 +306,7 @@
   CHECK(fixture.client->OpenConnections() == 3);
   for (const RawSocket& server : servers) {
     threads.emplace_back([&server] {
-      while (server.ReadUntil(kEnd).ends_with(kEnd))
+      while (server.ReadUntil(kHeaderEnd).ends_with(kHeaderEnd))
         server.Send(Answer("y"));
     });
   }
@@ -330,15 +330,15 @@
   Pending two;
   pinned->Call(MakeCall("/one"), one.Callback());
   pinned->Call(MakeCall("/two"), two.Callback());
-  CHECK(server.ReadUntil(kEnd).starts_with("GET /one "));
+  CHECK(server.ReadUntil(kHeaderEnd).starts_with("GET /one "));
   SECTION("Released, it serves other calls") {
     server.Send(Answer("1"));
     CHECK(one.Get().body == "1");
-    CHECK(server.ReadUntil(kEnd).starts_with("GET /two "));
+    CHECK(server.ReadUntil(kHeaderEnd).starts_with("GET /two "));
     server.Send(Answer("2"));
     CHECK(two.Get().body == "2");
     pinned->Release();
-    CHECK(server.ReadUntil(kEnd).starts_with("GET /other "));
+    CHECK(server.ReadUntil(kHeaderEnd).starts_with("GET /other "));
     server.Send(Answer("3"));
     CHECK(other.Get().body == "3");
     return;
@@ -355,7 +355,7 @@
   CHECK(one.Get().delivery == HttpDelivery::kUnknown);
   CHECK(two.Get().delivery == HttpDelivery::kNotSent);
   const RawSocket fresh = fixture.listener.Accept();
-  CHECK(fresh.ReadUntil(kEnd).starts_with("GET /other "));
+  CHECK(fresh.ReadUntil(kHeaderEnd).starts_with("GET /other "));
 }
 
 }  // namespace goldcrest::adapters
--- a/adapters/tests/http_server_test.cc
+++ b/adapters/tests/http_server_test.cc
@@ -86,7 +86,7 @@
   return text.find(part) != std::string::npos;
 }
 
-// What the caller of a request refused before the handler must see.
+// Expected response to a request that is refused before the handler runs.
 void CheckRefused(const std::string& answer, ResultCode code) {
   CAPTURE(answer);
   const ResultCodeInfo& info = InfoOf(code);
@@ -114,7 +114,7 @@
   CHECK(WaitFor([&] { return fixture.Server().OpenConnections() == 0; }));
 }
 
-TEST_CASE("Requests that are not whole and valid are answered as not run",
+TEST_CASE("Incomplete or invalid requests are answered as not run",
           "[adapters][guarantee]") {
   Fixture fixture({.max_body_bytes = 100,
                    .max_header_bytes = 500,
@@ -136,7 +136,8 @@
     code = ResultCode::kBodyTooLarge;
   }
   SECTION("A large body on its way") {
-    // More than the buffers between both ends hold: a reset fails the sending.
+    // Larger than the socket buffers of both ends, so that a reset would make
+    // the send fail.
     std::string request = "POST / HTTP/1.1\r\nContent-Length: 16000000\r\n\r\n";
     request.append(16'000'000, 'b');
     client.Send(request);
@@ -227,7 +228,7 @@
   CHECK(Contains(client.ReadUntil("}}"), "\"outcome\":\"unknown\""));
 }
 
-TEST_CASE("A connection beyond the limit is told so and closed",
+TEST_CASE("A connection beyond the limit is refused and closed",
           "[adapters][guarantee]") {
   Fixture fixture({.max_connections = 1});
   RawSocket first = fixture.Connect();
@@ -241,7 +242,8 @@
   CHECK(Contains(second.ReadUntil("|"), "/two"));
 }
 
-TEST_CASE("A body that waits for 100-continue is asked for", "[adapters]") {
+TEST_CASE("A client that expects 100-continue is told to send the body",
+          "[adapters]") {
   Fixture fixture;
   const RawSocket client = fixture.Connect();
   client.Send(
@@ -260,7 +262,7 @@
   const RawSocket partial = fixture.Connect();
   partial.Send("POST /p HTTP/1.1\r\nContent-Length: 2\r\n\r\n");
   REQUIRE(WaitFor([&] { return fixture.Server().RequestsInFlight() == 2; }));
-  // Waits in the backlog or is accepted when the listener closes.
+  // In the backlog or already accepted when the listener closes.
   const RawSocket late = fixture.Connect();
   fixture.Server().StopAccepting();
   fixture.Server().BeginDrain();
@@ -281,7 +283,7 @@
 TEST_CASE("Connections in the backlog are served when the listener closes",
           "[adapters][guarantee]") {
   Fixture fixture;
-  // Both workers are busy, so nothing can be accepted in the meantime.
+  // Both workers are busy, so no connection can be accepted.
   const RawSocket one = fixture.Connect();
   const RawSocket two = fixture.Connect();
   one.Send(Get("/block"));
--- a/adapters/tests/json_test.cc
+++ b/adapters/tests/json_test.cc
@@ -33,7 +33,7 @@
         "list[0].extra is unknown");
 }
 
-TEST_CASE("A text outside the limits is one error", "[adapters]") {
+TEST_CASE("A text outside the limits yields one error", "[adapters]") {
   const auto problem = [](std::string_view text) {
     JsonObject object =
         JsonObject::Parse(text, {.max_bytes = 100, .max_depth = 3});
--- a/adapters/tests/line_socket_test.cc
+++ b/adapters/tests/line_socket_test.cc
@@ -67,7 +67,7 @@
   CHECK(pair.causes.front() == "a line is too long");
 }
 
-TEST_CASE("What was written before a close arrives", "[adapters]") {
+TEST_CASE("Bytes written before a close are delivered", "[adapters]") {
   Pair pair;
   pair.server->Write("last\r\n");
   pair.server->CloseAfterWrites(milliseconds(500));
@@ -75,8 +75,9 @@
   CHECK(pair.client_lines == std::vector<std::string>{"last"});
 }
 
-// Guards against a caller's step that goes on with what the hook took away.
-TEST_CASE("A peer that does not read is told of after the write",
+// Guards against a use after free: a hook that ran within Write() could destroy
+// objects that the caller of Write() still uses.
+TEST_CASE("A send queue overflow is reported after the write returns",
           "[adapters]") {
   Pair pair;
   const std::string chunk(1 << 20, 'x');
@@ -87,13 +88,13 @@
   CHECK(pair.causes.front() == "the peer does not read");
 }
 
-TEST_CASE("A connection that can't be opened tells so", "[adapters]") {
+TEST_CASE("A failed connection attempt is reported", "[adapters]") {
   boost::asio::io_context context(1);
   auto socket = std::make_shared<LineSocket>(context, 64);
   std::string cause;
   socket->Connect("127.0.0.1", 1, milliseconds(2'000), "",
                   {[](std::string_view) {},
-                   [&](const std::string& told) { cause = told; }});
+                   [&](const std::string& reason) { cause = reason; }});
   context.run_for(std::chrono::seconds(3));
   CHECK_FALSE(cause.empty());
 }
--- a/adapters/tests/log_output_test.cc
+++ b/adapters/tests/log_output_test.cc
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-// Guards against a process that stands still because nobody reads its log.
+// Guards against a process that blocks on a full log pipe that is not read.
 TEST_CASE("A reader that stops reading never blocks the writer", "[adapters]") {
   std::array<int, 2> pipe_ends{};
   REQUIRE(::pipe(pipe_ends.data()) == 0);
--- a/adapters/tests/logger_test.cc
+++ b/adapters/tests/logger_test.cc
@@ -5,7 +5,7 @@
 namespace goldcrest::adapters {
 namespace {
 
-// The line without its time, which changes from run to run.
+// Removes the time from a log line, since it differs between runs.
 std::string WithoutTime(const std::string& line) {
   return line.substr(line.find(' ') + 1);
 }
--- a/adapters/tests/peer_transport_test.cc
+++ b/adapters/tests/peer_transport_test.cc
@@ -16,7 +16,7 @@
 using namespace std::chrono_literals;
 using messages::PeerMessage;
 
-// One daemon's end: keeps its log lines and what it received.
+// A transport of one instance that records its log lines and received messages.
 class Node {
  public:
   explicit Node(const std::string& name, PeerTransportOptions options = {})
@@ -100,7 +100,7 @@
 
 }  // namespace
 
-TEST_CASE("Messages go both ways over the one link that is up", "[adapters]") {
+TEST_CASE("Messages are sent in both directions over one link", "[adapters]") {
   Node a("a");
   Node b("b");
   CHECK_FALSE(a.Send("b", "early"));
@@ -130,13 +130,14 @@
   relay.SilenceExisting();
   REQUIRE(WaitFor([&] { return relay.Accepted() == 2; }));
   const auto replaced = std::chrono::steady_clock::now() - start;
-  // 1 s from the last byte, which is at most one ping interval and a little
-  // before the silence, and a backoff of 50 ms.
+  // The silence timeout of 1 s counts from the last byte, which arrived at most
+  // about one ping interval before the silence began; then a backoff of 50 ms.
   CHECK(replaced > 700ms);
   CHECK(replaced < 1'600ms);
   REQUIRE(WaitFor([&] { return a.Transport().IsConnected("b"); }));
   CHECK(a.Logged("cause=silent"));
-  // Sent until it arrives: the other end may still use the silent link.
+  // Repeats the message until it arrives, since the peer may still send on the
+  // silent link.
   CHECK(WaitFor([&] {
     a.Send("b", "after");
     b.Send("a", "answer");
@@ -144,7 +145,7 @@
   }));
 }
 
-TEST_CASE("A peer that comes back is found again", "[adapters]") {
+TEST_CASE("A link to a restarted peer is restored", "[adapters]") {
   Node a("a");
   std::uint16_t port = 0;
   {
@@ -159,8 +160,7 @@
   CHECK(WaitFor([&] { return a.Transport().IsConnected("b"); }));
 }
 
-TEST_CASE("Frames that are not what they must be close the link",
-          "[adapters]") {
+TEST_CASE("Invalid frames close the link", "[adapters]") {
   Node a("a", {.max_frame_bytes = 100'000});
   const RawSocket peer = RawSocket::Connect(a.Transport().Port());
   std::string cause;
@@ -172,7 +172,7 @@
     peer.Send(HelloFrame("test", "b", 2));
     cause = "code=703";
   }
-  SECTION("The own name") {
+  SECTION("The name of the receiving instance") {
     peer.Send(HelloFrame("test", "a", 1));
     cause = "code=703";
   }
@@ -184,7 +184,7 @@
     peer.Send(std::string("\x00\x01\x01\x01", 4));
     cause = "code=101";
   }
-  SECTION("A hello that doesn't come") {
+  SECTION("A missing hello") {
     cause = "";
   }
   SECTION("After the hello") {
@@ -208,7 +208,7 @@
   CHECK(WaitFor([&] { return !a.Transport().IsConnected("b"); }));
 }
 
-TEST_CASE("An instance that answers for another gets no link",
+TEST_CASE("A link to an instance with an unexpected name is rejected",
           "[adapters][guarantee]") {
   Node a("a");
   Node c("c");
--- a/adapters/tests/raw_socket.h
+++ b/adapters/tests/raw_socket.h
@@ -9,8 +9,8 @@
 
 namespace goldcrest::adapters {
 
-//! A blocking loopback TCP socket whose reads wait for at most 10 s. Written
-//! apart from the code under test, so that both can't share a fault.
+//! A blocking loopback TCP socket whose reads wait for at most 10 s. Shares
+//! no code with the code under test, so that both can't have the same fault.
 class RawSocket {
  public:
   RawSocket() = default;
--- a/adapters/tests/relay.h
+++ b/adapters/tests/relay.h
@@ -7,8 +7,8 @@
 
 namespace goldcrest::adapters {
 
-//! Forwards TCP connections to a loopback port, like something between two
-//! hosts that can lose track of connections.
+//! Forwards TCP connections to a loopback port. Simulates a stateful device
+//! between two hosts, such as a NAT gateway, that loses connection state.
 class Relay {
  public:
   explicit Relay(std::uint16_t target);
@@ -17,8 +17,8 @@
   Relay& operator=(const Relay&) = delete;
 
   std::uint16_t Port() const;
-  //! Connections that exist stay open and carry nothing any more, in both
-  //! directions; new ones work.
+  //! Existing connections stay open but forward no more bytes in either
+  //! direction. New connections are forwarded.
   void SilenceExisting();
   int Accepted() const;
 
