--- a/sessions/include/goldcrest/sessions/golden.h
+++ b/sessions/include/goldcrest/sessions/golden.h
@@ -5,8 +5,9 @@
 
 namespace goldcrest::sessions {
 
-//! Empty when `text` equals the approved file; otherwise the first difference.
-//! With GOLDCREST_APPROVE=1 in the environment the file is written instead.
+//! Compares `text` with the golden file at `path`. Returns the first
+//! difference, or "" if there is none. With GOLDCREST_APPROVE=1 in the
+//! environment, writes the file instead and returns "".
 std::string CompareWithGolden(const std::string& path, const std::string& text);
 
 }  // namespace goldcrest::sessions
--- a/sessions/src/fake_group.cc
+++ b/sessions/src/fake_group.cc
@@ -13,39 +13,39 @@
 using coordinator::NotRunReason;
 using coordinator::StatementKind;
 
-struct Parsed {
+struct ParsedStatement {
   std::string verb;
   std::string key;
   std::string value;
 };
 
-Parsed Parse(const std::string& statement) {
-  Parsed parsed;
-  std::istringstream words(statement);
-  words >> parsed.verb >> parsed.key >> parsed.value;
+ParsedStatement ParseStatement(const std::string& statement) {
+  ParsedStatement parsed;
+  std::istringstream stream(statement);
+  stream >> parsed.verb >> parsed.key >> parsed.value;
   return parsed;
 }
 
-std::string PinName(std::uint64_t pin) {
+std::string TransactionName(std::uint64_t pin) {
   return "t" + std::to_string(pin);
 }
 
 }  // namespace
 
-void FakeGroup::Add(const messages::EndpointInfo& info, Duration lag) {
+void FakeGroup::AddMember(const messages::EndpointInfo& info, Duration lag) {
   Member& member = members_[info.endpoint];
   member.info = info;
   member.lag = lag;
 }
 
-EndpointAnswer FakeGroup::Handle(const EndpointCall& call, Time now) {
+EndpointAnswer FakeGroup::HandleCall(const EndpointCall& call, Time now) {
   Member& member = members_.at(call.endpoint);
   EndpointAnswer answer;
   answer.call_id = call.id;
   answer.endpoint = call.endpoint;
   switch (call.operation) {
     case EndpointOperation::kStatement:
-      answer = Run(member, call, now);
+      answer = RunStatement(member, call, now);
       break;
     case EndpointOperation::kStatus:
       break;
@@ -72,13 +72,13 @@
         return answer;
       }
       std::int64_t position = 0;
-      const Entry* entry = FindRequest(member, call.request_id, &position);
+      const LogEntry* entry = FindRequest(member, call.request_id, &position);
       answer.known = entry != nullptr;
       answer.position = position;
       if (entry != nullptr)
         answer.value = entry->value;
       else
-        member.fenced.insert(call.request_id);
+        member.fenced_requests.insert(call.request_id);
       answer.term = member.term;
       return answer;
     }
@@ -91,45 +91,46 @@
   return answer;
 }
 
-EndpointAnswer FakeGroup::Run(Member& member,
-                              const EndpointCall& call,
-                              Time now) {
+EndpointAnswer FakeGroup::RunStatement(Member& member,
+                                       const EndpointCall& call,
+                                       Time now) {
   EndpointAnswer answer;
   answer.call_id = call.id;
   answer.endpoint = call.endpoint;
-  const auto not_run = [&](NotRunReason reason) {
+  const auto refuse = [&](NotRunReason reason) {
     answer.status = AnswerStatus::kNotRun;
     answer.reason = reason;
     return answer;
   };
   if (call.term < member.term)
-    return not_run(NotRunReason::kStaleTerm);
+    return refuse(NotRunReason::kStaleTerm);
   if (call.term > member.term)
-    return not_run(NotRunReason::kOther);
+    return refuse(NotRunReason::kOther);
   if (call.kind != StatementKind::kRead && !member.primary)
-    return not_run(NotRunReason::kNotPrimary);
+    return refuse(NotRunReason::kNotPrimary);
   if (!call.request_id.empty()) {
     std::int64_t position = 0;
-    if (const Entry* entry = FindRequest(member, call.request_id, &position)) {
+    if (const LogEntry* entry =
+            FindRequest(member, call.request_id, &position)) {
       answer.value = entry->value;
       answer.position = position;
       return answer;
     }
-    if (member.fenced.contains(call.request_id))
-      return not_run(NotRunReason::kOther);
+    if (member.fenced_requests.contains(call.request_id))
+      return refuse(NotRunReason::kOther);
   }
 
-  const std::string transaction = PinName(call.pin);
+  const std::string transaction = TransactionName(call.pin);
   if (call.kind == StatementKind::kBegin) {
     member.transactions[transaction];
     answer.transaction = transaction;
     return answer;
   }
-  const bool inside = call.pin != 0;
-  if (inside && !member.transactions.contains(transaction))
-    return not_run(NotRunReason::kOther);
-  std::map<std::string, std::string> data = DataOf(member);
-  if (inside) {
+  const bool in_transaction = call.pin != 0;
+  if (in_transaction && !member.transactions.contains(transaction))
+    return refuse(NotRunReason::kOther);
+  std::map<std::string, std::string> data = ReplayLog(member);
+  if (in_transaction) {
     for (const auto& [key, value] : member.transactions[transaction])
       data[key] = value;
   }
@@ -147,7 +148,7 @@
     append(node.mapped());
     return answer;
   }
-  const Parsed parsed = Parse(call.statement);
+  const ParsedStatement parsed = ParseStatement(call.statement);
   answer.value = data[parsed.key];
   answer.position = static_cast<std::int64_t>(member.log.size());
   if (parsed.verb == "get")
@@ -156,7 +157,7 @@
     answer.value = std::to_string(std::atoi(answer.value.c_str()) + 1);
   else
     answer.value = parsed.value;
-  if (inside)
+  if (in_transaction)
     member.transactions[transaction][parsed.key] = answer.value;
   else
     append({{parsed.key, answer.value}});
@@ -171,11 +172,12 @@
         !source->second.replicates || !source->second.primary ||
         source->second.term != member.term)
       continue;
-    const std::vector<Entry>& log = source->second.log;
-    std::size_t common = std::min(member.log.size(), log.size());
-    while (common > 0 && member.log[common - 1].term != log[common - 1].term)
-      --common;
-    member.log.resize(common);
+    const std::vector<LogEntry>& log = source->second.log;
+    std::size_t common_length = std::min(member.log.size(), log.size());
+    while (common_length > 0 &&
+           member.log[common_length - 1].term != log[common_length - 1].term)
+      --common_length;
+    member.log.resize(common_length);
     while (member.log.size() < log.size() &&
            log[member.log.size()].added + member.lag <= now)
       member.log.push_back(log[member.log.size()]);
@@ -183,27 +185,27 @@
 }
 
 void FakeGroup::Rollback(const std::string& endpoint, std::uint64_t pin) {
-  members_[endpoint].transactions.erase(PinName(pin));
+  members_[endpoint].transactions.erase(TransactionName(pin));
 }
 
-int FakeGroup::TimesRun(const std::string& endpoint,
-                        const std::string& statement) {
-  return static_cast<int>(
-      std::ranges::count(members_[endpoint].log, statement, &Entry::statement));
+int FakeGroup::CountRuns(const std::string& endpoint,
+                         const std::string& statement) {
+  return static_cast<int>(std::ranges::count(members_[endpoint].log, statement,
+                                             &LogEntry::statement));
 }
 
-std::map<std::string, std::string> FakeGroup::DataOf(const Member& member) {
+std::map<std::string, std::string> FakeGroup::ReplayLog(const Member& member) {
   std::map<std::string, std::string> data;
-  for (const Entry& entry : member.log) {
+  for (const LogEntry& entry : member.log) {
     for (const auto& [key, value] : entry.writes)
       data[key] = value;
   }
   return data;
 }
 
-const FakeGroup::Entry* FakeGroup::FindRequest(const Member& member,
-                                               const std::string& request_id,
-                                               std::int64_t* position) {
+const FakeGroup::LogEntry* FakeGroup::FindRequest(const Member& member,
+                                                  const std::string& request_id,
+                                                  std::int64_t* position) {
   for (std::size_t i = 0; i < member.log.size(); ++i) {
     if (member.log[i].request_id != request_id)
       continue;
--- a/sessions/src/fleet.cc
+++ b/sessions/src/fleet.cc
@@ -10,9 +10,10 @@
 namespace goldcrest::sessions {
 namespace {
 
-constexpr Duration kTick = std::chrono::milliseconds(10);
+constexpr Duration kTickInterval = std::chrono::milliseconds(10);
 constexpr Duration kServiceTime = std::chrono::milliseconds(1);
-constexpr Duration kAnswerBound = std::chrono::seconds(30);
+constexpr Duration kAnswerTimeout = std::chrono::seconds(30);
+// Delay of a message that an instance sends to itself.
 constexpr Duration kLocalDelay = std::chrono::microseconds(10);
 
 }  // namespace
@@ -28,19 +29,19 @@
       control_names_.push_back(name);
   }
   for (auto& [name, node] : nodes_)
-    Start(node, true);
+    StartNode(node, true);
 }
 
 Fleet::~Fleet() = default;
 
-void Fleet::Start(Node& node, bool bootstrap) {
+void Fleet::StartNode(Node& node, bool bootstrap) {
   node.up = true;
-  node.frozen = false;
-  node.held.clear();
-  ++node.life;
-  node.info.incarnation = static_cast<std::int64_t>(node.life);
+  node.paused = false;
+  node.deferred_events.clear();
+  ++node.generation;
+  node.info.incarnation = static_cast<std::int64_t>(node.generation);
   const std::string name = node.info.instance;
-  const auto seed = std::hash<std::string>()(name) + node.life;
+  const auto seed = std::hash<std::string>()(name) + node.generation;
   const auto generator = std::make_shared<std::mt19937_64>(seed);
   const auto random_bytes = [generator](std::size_t count) {
     std::string bytes;
@@ -75,27 +76,27 @@
 void Fleet::WriteToDisk(const std::vector<consensus::LogWrite>& writes,
                         consensus::RestoredState* disk) {
   disk->fresh = false;
-  const auto drop_from = [disk](std::int64_t index) {
+  const auto erase_from = [disk](std::int64_t index) {
     std::erase_if(disk->entries, [index](const messages::LogEntry& entry) {
       return entry.index >= index;
     });
   };
   for (const consensus::LogWrite& write : writes) {
-    if (const auto* hard = std::get_if<consensus::HardState>(&write))
-      disk->hard_state = *hard;
-    if (const auto* cut = std::get_if<consensus::TruncateLog>(&write))
-      drop_from(cut->index);
+    if (const auto* hard_state = std::get_if<consensus::HardState>(&write))
+      disk->hard_state = *hard_state;
+    if (const auto* truncate = std::get_if<consensus::TruncateLog>(&write))
+      erase_from(truncate->index);
     if (const auto* append = std::get_if<consensus::AppendEntries>(&write))
       disk->entries.insert(disk->entries.end(), append->entries.begin(),
                            append->entries.end());
     if (const auto* save = std::get_if<consensus::SaveSnapshot>(&write)) {
       const consensus::Snapshot& snapshot = save->snapshot;
-      const bool holds_it = std::ranges::any_of(
+      const bool has_last_entry = std::ranges::any_of(
           disk->entries, [&](const messages::LogEntry& entry) {
             return entry.index == snapshot.last_index &&
                    entry.term == snapshot.last_term;
           });
-      if (!holds_it)
+      if (!has_last_entry)
         disk->entries.clear();
       std::erase_if(disk->entries, [&](const messages::LogEntry& entry) {
         return entry.index <= snapshot.last_index;
@@ -106,7 +107,7 @@
 }
 
 FakeGroup& Fleet::AddGroup(const std::string& group, int members, int slots) {
-  FakeGroup& fake = groups_[group];
+  FakeGroup& fake_group = groups_[group];
   for (int i = 1; i <= members; ++i) {
     messages::EndpointInfo info;
     info.endpoint = fmt::format("{}-{}", group, i);
@@ -115,19 +116,19 @@
     info.slots = slots;
     info.connections = 25;
     info.incarnation = 1;
-    fake.Add(info, std::chrono::milliseconds(5));
+    fake_group.AddMember(info, std::chrono::milliseconds(5));
     group_by_endpoint_[info.endpoint] = group;
     messages::Announcement announcement;
     announcement.info = info;
-    At(now_, [this, announcement] { Announce("e1", announcement); });
+    Schedule(now_, [this, announcement] { Announce("e1", announcement); });
   }
-  return fake;
+  return fake_group;
 }
 
 messages::ProposeResponse Fleet::Configure(const std::string& entry_name,
                                            const messages::Change& change) {
   const std::uint64_t id = StartChange(entry_name, change);
-  RunUntil([&] { return operator_answers_.contains(id); }, kAnswerBound);
+  RunUntil([&] { return operator_answers_.contains(id); }, kAnswerTimeout);
   return operator_answers_[id];
 }
 
@@ -143,17 +144,17 @@
     const std::string& entry_name,
     const messages::ProposeRequest& request) {
   const std::uint64_t id = StartProposal(entry_name, request);
-  RunUntil([&] { return operator_answers_.contains(id); }, kAnswerBound);
+  RunUntil([&] { return operator_answers_.contains(id); }, kAnswerTimeout);
   return operator_answers_[id];
 }
 
 std::uint64_t Fleet::StartProposal(const std::string& entry_name,
                                    const messages::ProposeRequest& request) {
-  const std::uint64_t id = next_caller_++;
-  CarryOut(entry_name,
-           entry(entry_name)
-               .OnOperatorProposal(id, request, now_ + std::chrono::seconds(10),
-                                   now_));
+  const std::uint64_t id = next_request_id_++;
+  ApplyEffects(entry_name,
+               entry(entry_name)
+                   .OnOperatorProposal(id, request,
+                                       now_ + std::chrono::seconds(10), now_));
   return id;
 }
 
@@ -165,10 +166,11 @@
 void Fleet::Call(const std::string& label,
                  const std::string& entry_name,
                  entry::CallerRequest request) {
-  request.id = next_caller_++;
+  request.id = next_request_id_++;
   labels_[request.id] = label;
-  Note(fmt::format("{} -> {}: {}", label, entry_name, request.statement));
-  CarryOut(entry_name, entry(entry_name).OnCallerRequest(request, now_));
+  AddToTranscript(
+      fmt::format("{} -> {}: {}", label, entry_name, request.statement));
+  ApplyEffects(entry_name, entry(entry_name).OnCallerRequest(request, now_));
 }
 
 const entry::CallerAnswer* Fleet::AnswerTo(const std::string& label) const {
@@ -180,7 +182,7 @@
                                        const std::string& entry_name,
                                        entry::CallerRequest request) {
   Call(label, entry_name, std::move(request));
-  RunUntil([&] { return answers_.contains(label); }, kAnswerBound);
+  RunUntil([&] { return answers_.contains(label); }, kAnswerTimeout);
   return answers_[label];
 }
 
@@ -188,8 +190,8 @@
   RunUntil([] { return false; }, duration);
 }
 
-bool Fleet::RunUntil(const std::function<bool()>& condition, Duration bound) {
-  const Time end = now_ + bound;
+bool Fleet::RunUntil(const std::function<bool()>& condition, Duration timeout) {
+  const Time end = now_ + timeout;
   while (!condition()) {
     if (events_.empty() || events_.top().at > end) {
       now_ = end;
@@ -216,7 +218,8 @@
 
 void Fleet::Announce(const std::string& entry_name,
                      const messages::Announcement& announcement) {
-  CarryOut(entry_name, entry(entry_name).OnAnnouncement(announcement, now_));
+  ApplyEffects(entry_name,
+               entry(entry_name).OnAnnouncement(announcement, now_));
 }
 
 entry::EntryNode& Fleet::entry(const std::string& instance) {
@@ -238,7 +241,7 @@
 
 std::string Fleet::CoordinatorOf(const std::string& group) {
   for (const auto& [name, node] : nodes_) {
-    if (!node.up || node.frozen)
+    if (!node.up || node.paused)
       continue;
     const auto it = node.entry->coordinators().find(group);
     if (it != node.entry->coordinators().end() &&
@@ -262,25 +265,25 @@
   return names;
 }
 
-void Fleet::Note(const std::string& text) {
+void Fleet::AddToTranscript(const std::string& text) {
   transcript_ += fmt::format("{:>9.3f} {}\n",
                              static_cast<double>(ToMicros(now_)) / 1e6, text);
 }
 
-void Fleet::At(Time time, std::function<void()> run) {
+void Fleet::Schedule(Time time, std::function<void()> run) {
   events_.push({time, next_order_++, std::move(run)});
 }
 
-void Fleet::AtNode(const std::string& name,
-                   Duration after,
-                   std::function<void()> run) {
-  const std::uint64_t life = nodes_.at(name).life;
-  At(now_ + after, [this, name, life, run = std::move(run)] {
+void Fleet::ScheduleOnNode(const std::string& name,
+                           Duration delay,
+                           std::function<void()> run) {
+  const std::uint64_t generation = nodes_.at(name).generation;
+  Schedule(now_ + delay, [this, name, generation, run = std::move(run)] {
     Node& node = nodes_.at(name);
-    if (node.life != life || !node.up)
+    if (node.generation != generation || !node.up)
       return;
-    if (node.frozen)
-      node.held.push_back(run);
+    if (node.paused)
+      node.deferred_events.push_back(run);
     else
       run();
   });
@@ -288,50 +291,51 @@
 
 void Fleet::TickNode(const std::string& name) {
   Node& node = nodes_.at(name);
-  CarryOut(name, node.entry->Tick(now_));
+  ApplyEffects(name, node.entry->Tick(now_));
   if (node.control != nullptr)
-    CarryOut(name, node.control->Tick(now_));
-  for (auto& [group, fake] : groups_)
-    fake.Replicate(now_);
-  AtNode(name, kTick, [this, name] { TickNode(name); });
+    ApplyEffects(name, node.control->Tick(now_));
+  for (auto& [group, fake_group] : groups_)
+    fake_group.Replicate(now_);
+  ScheduleOnNode(name, kTickInterval, [this, name] { TickNode(name); });
 }
 
-void Fleet::CarryOut(const std::string& name,
-                     const entry::EntryEffects& effects) {
+void Fleet::ApplyEffects(const std::string& name,
+                         const entry::EntryEffects& effects) {
   for (const auto& [to, message] : effects.messages)
     Send(name, to, message);
   for (const coordinator::EndpointCall& call : effects.calls)
     CallEndpoint(name, call);
   for (const auto& [endpoint, pin] : effects.closed_pins)
     GroupOf(endpoint).Rollback(endpoint, pin);
-  for (const messages::JournalEntry& note : effects.journal) {
-    std::string text =
-        fmt::format("{} {} {}: {}", name, note.subject, note.kind, note.cause);
-    for (const auto& [key, value] : note.inputs)
+  for (const messages::JournalEntry& event : effects.journal) {
+    std::string text = fmt::format("{} {} {}: {}", name, event.subject,
+                                   event.kind, event.cause);
+    for (const auto& [key, value] : event.inputs)
       text += fmt::format(" {}={}", key, value);
-    Note(text);
+    AddToTranscript(text);
   }
   for (const entry::CallerAnswer& answer : effects.answers) {
     const std::string label = labels_[answer.id];
     const ResultCodeInfo& info = InfoOf(answer.code);
-    Note(fmt::format("{} <- {}: {} {} value={} by={}", label, name, info.name,
-                     ToString(info.outcome), answer.value, answer.served_by));
+    AddToTranscript(fmt::format("{} <- {}: {} {} value={} by={}", label, name,
+                                info.name, ToString(info.outcome), answer.value,
+                                answer.served_by));
     answers_[label] = answer;
   }
   for (const entry::OperatorAnswer& answer : effects.operator_answers) {
-    Note(fmt::format("operator <- {}: {} revision={} missing={} {}", name,
-                     InfoOf(ResultCodeFromNumber(answer.response.code)).name,
-                     answer.response.revision,
-                     fmt::join(answer.response.missing, ","),
-                     answer.response.message));
+    AddToTranscript(fmt::format(
+        "operator <- {}: {} revision={} missing={} {}", name,
+        InfoOf(ResultCodeFromNumber(answer.response.code)).name,
+        answer.response.revision, fmt::join(answer.response.missing, ","),
+        answer.response.message));
     operator_answers_[answer.id] = answer.response;
   }
 }
 
-void Fleet::CarryOut(const std::string& name,
-                     const entry::ControlEffects& effects) {
+void Fleet::ApplyEffects(const std::string& name,
+                         const entry::ControlEffects& effects) {
   if (effects.failed)
-    Note(name + " log failed");
+    AddToTranscript(name + " log failed");
   for (const auto& [to, message] : effects.messages)
     Send(name, to, message);
 }
@@ -341,7 +345,7 @@
                  messages::PeerMessage message) {
   if (!nodes_.contains(to))
     return;
-  if (count_bytes_ && !message.__isset.forward &&
+  if (count_control_bytes_ && !message.__isset.forward &&
       !message.__isset.forward_response) {
     const char* kind = message.__isset.report      ? "report"
                        : message.__isset.update    ? "update"
@@ -349,10 +353,10 @@
                                                    : "other";
     control_bytes_[kind] += messages::Encode(message).size();
   }
-  if (from != to && IsCut(from, to))
+  if (from != to && IsPartitioned(from, to))
     return;
   const Duration delay = from == to ? kLocalDelay : delay_;
-  AtNode(to, delay, [this, from, to, message = std::move(message)] {
+  ScheduleOnNode(to, delay, [this, from, to, message = std::move(message)] {
     Deliver(from, to, message);
   });
 }
@@ -364,46 +368,46 @@
   const bool for_control = message.__isset.consensus ||
                            message.__isset.report || message.__isset.propose;
   if (!for_control)
-    CarryOut(to, node.entry->OnMessage(from, message, now_));
+    ApplyEffects(to, node.entry->OnMessage(from, message, now_));
   else if (node.control != nullptr)
-    CarryOut(to, node.control->OnMessage(from, message, now_));
+    ApplyEffects(to, node.control->OnMessage(from, message, now_));
 }
 
 void Fleet::CallEndpoint(const std::string& from,
                          const coordinator::EndpointCall& call) {
   sent_calls_.push_back({now_, call});
   const std::uint64_t id = call.id;
-  // Whatever happens, the call ends by its deadline; an earlier answer is
-  // delivered first and the coordinator ignores the second result.
-  AtNode(from, std::max(call.deadline - now_, Duration(0)),
-         [this, from, id] { FinishCall(from, id, {}); });
-  if (IsCut(from, call.endpoint))
+  // Ends the call at its deadline without an answer. If the call was answered
+  // earlier, the coordinator ignores this second result.
+  ScheduleOnNode(from, std::max(call.deadline - now_, Duration(0)),
+                 [this, from, id] { FinishCall(from, id, {}); });
+  if (IsPartitioned(from, call.endpoint))
     return;
-  At(now_ + delay_, [this, from, call] {
+  Schedule(now_ + delay_, [this, from, call] {
     FakeGroup& group = GroupOf(call.endpoint);
     if (!group.member(call.endpoint).up) {
       coordinator::CallResult refused;
       refused.delivery = coordinator::Delivery::kNotSent;
-      AtNode(from, delay_, [this, from, id = call.id, refused] {
+      ScheduleOnNode(from, delay_, [this, from, id = call.id, refused] {
         FinishCall(from, id, refused);
       });
       return;
     }
     coordinator::CallResult result;
     result.delivery = coordinator::Delivery::kAnswered;
-    result.answer = group.Handle(call, now_);
-    Duration back = delay_ + kServiceTime;
+    result.answer = group.HandleCall(call, now_);
+    Duration answer_delay = delay_ + kServiceTime;
     if (call.operation == coordinator::EndpointOperation::kStatement) {
-      back += answer_delays_[call.endpoint];
-      if (crossed_answers_[call.endpoint]-- > 0) {
+      answer_delay += answer_delays_[call.endpoint];
+      if (mismatched_answers_[call.endpoint]-- > 0) {
         ++result.answer.call_id;
         result.answer.value = "of another call";
       }
     }
-    At(now_ + back, [this, from, call, result] {
-      if (IsCut(from, call.endpoint))
+    Schedule(now_ + answer_delay, [this, from, call, result] {
+      if (IsPartitioned(from, call.endpoint))
         return;
-      AtNode(from, Duration(0), [this, from, id = call.id, result] {
+      ScheduleOnNode(from, Duration(0), [this, from, id = call.id, result] {
         FinishCall(from, id, result);
       });
     });
@@ -413,11 +417,11 @@
 void Fleet::FinishCall(const std::string& name,
                        std::uint64_t id,
                        const coordinator::CallResult& result) {
-  CarryOut(name, entry(name).OnCallResult(id, result, now_));
+  ApplyEffects(name, entry(name).OnCallResult(id, result, now_));
 }
 
-bool Fleet::IsCut(const std::string& a, const std::string& b) const {
-  return cuts_.contains(std::minmax(a, b));
+bool Fleet::IsPartitioned(const std::string& a, const std::string& b) const {
+  return partitions_.contains(std::minmax(a, b));
 }
 
 FakeGroup& Fleet::GroupOf(const std::string& endpoint) {
--- a/sessions/src/golden.cc
+++ b/sessions/src/golden.cc
@@ -19,18 +19,18 @@
   std::ifstream file(path);
   if (!file)
     return fmt::format("{} is missing; got:\n{}", path, text);
-  std::istringstream got(text);
+  std::istringstream actual(text);
   std::string expected_line;
-  std::string got_line;
+  std::string actual_line;
   for (int line = 1;; ++line) {
-    const bool more_expected = !!std::getline(file, expected_line);
-    const bool more_got = !!std::getline(got, got_line);
-    if (!more_expected && !more_got)
+    const bool has_expected = !!std::getline(file, expected_line);
+    const bool has_actual = !!std::getline(actual, actual_line);
+    if (!has_expected && !has_actual)
       return {};
-    if (more_expected != more_got || expected_line != got_line)
+    if (has_expected != has_actual || expected_line != actual_line)
       return fmt::format("{}:{}\n expected: {}\n got:      {}", path, line,
-                         more_expected ? expected_line : "(end)",
-                         more_got ? got_line : "(end)");
+                         has_expected ? expected_line : "(end)",
+                         has_actual ? actual_line : "(end)");
   }
 }
 
--- a/sessions/tests/keys_test.cc
+++ b/sessions/tests/keys_test.cc
@@ -11,32 +11,34 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Withdrawal takes effect within 6 s on every instance.
+// Longest time until a withdrawn key is refused by all instances.
 constexpr Duration kWithdrawalBound = seconds(6);
 
-messages::Change Withdrawal() {
-  return ChangeOf("withdraw", -1, {KeyWithdrawal("k-town-hall")});
+messages::Change WithdrawalChange() {
+  return MakeChange("withdraw", -1, {KeyWithdrawal("k-town-hall")});
 }
 
 }  // namespace
 
 TEST_CASE("A withdrawn key stops working everywhere within its bound",
           "[sessions][guarantee]") {
+  // Guards against a request that runs with a key that was withdrawn while an
+  // instance was isolated or paused, or while the request waited.
   Fleet fleet(5, 3);
   fleet.AddGroup("bookings", 3, 3);
-  REQUIRE(Prepare(fleet));
+  REQUIRE(SetUpBookings(fleet));
   REQUIRE(fleet.CallAndWait("before", "e5", Write("set a 1")).code ==
           ResultCode::kOk);
 
   SECTION("on an instance that control reaches") {
-    CHECK(fleet.Configure("e1", Withdrawal()).code == 0);
+    CHECK(fleet.Configure("e1", WithdrawalChange()).code == 0);
     CHECK(fleet.CallAndWait("after", "e5", Write("set a 2")).code ==
           ResultCode::kKeyWithdrawn);
   }
-  SECTION("on an instance that is isolated in silence") {
+  SECTION("on an isolated instance") {
     fleet.Isolate("e5");
     const Time start = fleet.now();
-    const auto answer = fleet.Configure("e1", Withdrawal());
+    const auto answer = fleet.Configure("e1", WithdrawalChange());
     CHECK(answer.code == 0);
     CHECK(answer.missing == std::vector<std::string>{"e5"});
     CHECK(fleet.now() - start < kWithdrawalBound);
@@ -49,36 +51,36 @@
           ResultCode::kKeyWithdrawn);
     CheckGolden(fleet, "withdrawal_isolated");
   }
-  SECTION("on an instance that is paused and wakes") {
-    fleet.Freeze("e5");
-    CHECK(fleet.Configure("e1", Withdrawal()).code == 0);
-    fleet.Thaw("e5");
+  SECTION("on an instance that is paused and resumed") {
+    fleet.Pause("e5");
+    CHECK(fleet.Configure("e1", WithdrawalChange()).code == 0);
+    fleet.Resume("e5");
     fleet.Call("on waking", "e5", Write("set a 3"));
     fleet.Run(seconds(2));
     REQUIRE(fleet.AnswerTo("on waking") != nullptr);
     CHECK(InfoOf(fleet.AnswerTo("on waking")->code).outcome ==
           Outcome::kNotRun);
-    CHECK(fleet.group("bookings").TimesRun("bookings-1", "set a 3") == 0);
+    CHECK(fleet.group("bookings").CountRuns("bookings-1", "set a 3") == 0);
   }
   SECTION("for a request that waits in a queue") {
-    // Three slow statements hold the slots while the request waits.
+    // Three slow statements occupy all slots while the request waits.
     fleet.DelayAnswers("bookings-1", seconds(2));
     for (int i = 0; i < 3; ++i)
       fleet.Call("slow " + std::to_string(i), "e4",
                  Write("incr n", "", "key-of-the-brasserie"));
     fleet.Run(milliseconds(200));
     fleet.Call("queued", "e5", Write("set a 4"));
-    CHECK(fleet.Configure("e1", Withdrawal()).code == 0);
+    CHECK(fleet.Configure("e1", WithdrawalChange()).code == 0);
     fleet.Run(seconds(4));
     REQUIRE(fleet.AnswerTo("queued") != nullptr);
     CHECK(fleet.AnswerTo("queued")->code == ResultCode::kKeyWithdrawn);
-    CHECK(fleet.group("bookings").TimesRun("bookings-1", "set a 4") == 0);
+    CHECK(fleet.group("bookings").CountRuns("bookings-1", "set a 4") == 0);
   }
   SECTION("in an open transaction") {
     const auto begin = fleet.CallAndWait(
         "begin", "e5", InTransaction(Operation::BEGIN_WORK, "", "begin"));
     REQUIRE(begin.code == ResultCode::kOk);
-    CHECK(fleet.Configure("e1", Withdrawal()).code == 0);
+    CHECK(fleet.Configure("e1", WithdrawalChange()).code == 0);
     fleet.Run(milliseconds(300));
     for (auto& [name, member] : fleet.group("bookings").members())
       CHECK(member.transactions.empty());
@@ -89,11 +91,11 @@
     "A key moved to another customer does not carry a waiting request "
     "along",
     "[sessions][guarantee]") {
-  // Guards against a request that was admitted for one customer and runs for
-  // another.
+  // Guards against a request that is admitted for one customer and runs for
+  // another because its key was moved while it waited in a queue.
   Fleet fleet(4, 3);
   fleet.AddGroup("bookings", 3, 3);
-  REQUIRE(Prepare(fleet));
+  REQUIRE(SetUpBookings(fleet));
   fleet.DelayAnswers("bookings-1", seconds(2));
   for (int i = 0; i < 3; ++i)
     fleet.Call("slow " + std::to_string(i), "e4",
@@ -101,21 +103,22 @@
   fleet.Run(milliseconds(200));
   fleet.Call("queued", "e4", Write("set a 4"));
   REQUIRE(fleet
-              .Configure("e1", ChangeOf("move", -1,
-                                        {Key("k-town-hall", "brasserie",
-                                             kTownHallKey)}))
+              .Configure("e1", MakeChange("move", -1,
+                                          {Key("k-town-hall", "brasserie",
+                                               kTownHallKey)}))
               .code == 0);
   fleet.Run(seconds(4));
   REQUIRE(fleet.AnswerTo("queued") != nullptr);
   CHECK(fleet.AnswerTo("queued")->code == ResultCode::kKeyWithdrawn);
-  CHECK(fleet.group("bookings").TimesRun("bookings-1", "set a 4") == 0);
+  CHECK(fleet.group("bookings").CountRuns("bookings-1", "set a 4") == 0);
 }
 
 TEST_CASE("A request without a key runs on open routes only",
           "[sessions][guarantee]") {
+  // Guards against a request that runs with a missing or unknown key.
   Fleet fleet(4, 3);
   fleet.AddGroup("bookings", 3, 3);
-  REQUIRE(Prepare(fleet));
+  REQUIRE(SetUpBookings(fleet));
   entry::CallerRequest read = Read("get a");
   read.key_digest.clear();
   CHECK(fleet.CallAndWait("no key", "e4", read).code ==
@@ -127,9 +130,11 @@
 
 TEST_CASE("No endpoint and no message sees a caller's key",
           "[sessions][guarantee]") {
+  // Guards against a key or its digest in calls to endpoints, and against a key
+  // in answers and journal entries, which the transcript holds.
   Fleet fleet(4, 3);
   fleet.AddGroup("bookings", 3, 3);
-  REQUIRE(Prepare(fleet));
+  REQUIRE(SetUpBookings(fleet));
   fleet.CallAndWait("write", "e4", Write("set a 1", "w1"));
   fleet.CallAndWait("read", "e3", Read("get a"));
   const auto begin = fleet.CallAndWait(
--- a/sessions/tests/outcomes_test.cc
+++ b/sessions/tests/outcomes_test.cc
@@ -11,16 +11,17 @@
 
 int TimesRunOnPrimary(Fleet& fleet, const std::string& statement) {
   return fleet.group("bookings")
-      .TimesRun(fleet.PrimaryOf("bookings"), statement);
+      .CountRuns(fleet.PrimaryOf("bookings"), statement);
 }
 
 }  // namespace
 
 TEST_CASE("A request that may not be repeated runs at most once",
           "[sessions][guarantee]") {
+  // Guards against a second run after a lost answer, a resend or a failover.
   Fleet fleet(4, 3);
   fleet.AddGroup("bookings", 3, 3);
-  REQUIRE(Prepare(fleet));
+  REQUIRE(SetUpBookings(fleet));
   const std::string coordinator = fleet.CoordinatorOf("bookings");
 
   SECTION("without an id, when the answer is lost, it is not sent again") {
@@ -73,10 +74,11 @@
 }
 
 TEST_CASE("Two customers may use one request id", "[sessions][guarantee]") {
-  // Guards against an answer of another customer's request.
+  // Guards against deduplication across customers: the second customer would
+  // get the answer of the first one's request.
   Fleet fleet(4, 3);
   fleet.AddGroup("bookings", 3, 3);
-  REQUIRE(Prepare(fleet));
+  REQUIRE(SetUpBookings(fleet));
   fleet.CallAndWait("first", "e4", Write("set a 1", "p1"));
   const auto second = fleet.CallAndWait(
       "second", "e4", Write("set b 2", "p1", "key-of-the-brasserie"));
@@ -84,16 +86,18 @@
   CHECK(TimesRunOnPrimary(fleet, "set b 2") == 1);
 }
 
-TEST_CASE("A late or crossed answer goes to no caller",
+TEST_CASE("A late or mismatched answer is delivered to no caller",
           "[sessions][guarantee]") {
+  // Guards against an answer that reaches the caller of another request.
   Fleet fleet(4, 3);
   fleet.AddGroup("bookings", 3, 3);
-  REQUIRE(Prepare(fleet));
+  REQUIRE(SetUpBookings(fleet));
   fleet.CallAndWait("set a", "e4", Write("set a 1", "a"));
   fleet.CallAndWait("set b", "e4", Write("set b 2", "b"));
   fleet.Run(seconds(1));
 
-  SECTION("late: the first caller has given up, the second gets its own") {
+  SECTION(
+      "late: the first request has timed out, the second gets its own answer") {
     for (const char* name : {"bookings-1", "bookings-2", "bookings-3"})
       fleet.DelayAnswers(name, milliseconds(700));
     entry::CallerRequest late = Read("get a");
@@ -104,9 +108,9 @@
       fleet.DelayAnswers(name, milliseconds(0));
     CHECK(fleet.CallAndWait("next", "e4", Read("get b")).value == "2");
   }
-  SECTION("crossed: an answer with another call's id is dropped") {
-    fleet.CrossAnswers("bookings-2", 1);
-    fleet.CrossAnswers("bookings-3", 1);
+  SECTION("mismatched: an answer with another call's id is dropped") {
+    fleet.MismatchAnswers("bookings-2", 1);
+    fleet.MismatchAnswers("bookings-3", 1);
     fleet.Call("read a", "e4", Read("get a"));
     fleet.Call("read b", "e3", Read("get b"));
     fleet.Run(seconds(2));
@@ -115,15 +119,16 @@
   }
 }
 
-TEST_CASE("A refusal that says not run is true", "[sessions][guarantee]") {
-  // Each refusal that can be brought about is followed by a look at the logs
-  // of all members: none may hold the statement.
+TEST_CASE("A request that is refused as not run has not run",
+          "[sessions][guarantee]") {
+  // Guards against a refusal of a statement that runs all the same: no member's
+  // log may hold the statement after any of these refusals.
   Fleet fleet(4, 3);
   FakeGroup& group = fleet.AddGroup("bookings", 3, 3);
-  REQUIRE(Prepare(fleet));
+  REQUIRE(SetUpBookings(fleet));
   entry::CallerRequest write = Write("set refused 1");
   write.timeout = milliseconds(800);
-  std::string at = "e4";
+  std::string entry_name = "e4";
 
   SECTION("no access") {
     write.group = "nowhere";
@@ -155,8 +160,8 @@
     fleet.Run(seconds(4));
   }
   SECTION("replicas behind") {
-    // The lag grows while the replicas still make progress, so this is no
-    // isolated primary.
+    // The lag grows while the replicas still make progress, so the primary does
+    // not count as isolated.
     for (int i = 0; i < 100; ++i) {
       group.member("bookings-2").lag = milliseconds(40 * i);
       group.member("bookings-3").lag = milliseconds(40 * i);
@@ -164,78 +169,80 @@
       fleet.Run(milliseconds(50));
     }
   }
-  const auto answer = fleet.CallAndWait("refused", at, write);
+  const auto answer = fleet.CallAndWait("refused", entry_name, write);
   CAPTURE(InfoOf(answer.code).name);
   REQUIRE(InfoOf(answer.code).outcome == Outcome::kNotRun);
   fleet.HealAll();
   fleet.Run(seconds(8));
   for (const auto& [name, member] : group.members())
-    CHECK(group.TimesRun(name, "set refused 1") == 0);
+    CHECK(group.CountRuns(name, "set refused 1") == 0);
 }
 
 TEST_CASE("No customer gets more than its rate and burst over all instances",
           "[sessions][guarantee]") {
-  // The brasserie has 100 requests a second and a burst of 20. Each statement
-  // that runs is counted; the bound holds over any interval.
+  // Guards against tokens that are handed out twice when an entry or the owner
+  // of the bucket fails. The customer "brasserie" has 100 requests a second and
+  // a burst of 20; the limit holds for the statements of any interval.
   Fleet fleet(4, 3);
   fleet.AddGroup("bookings", 3, 100);
-  REQUIRE(Prepare(fleet));
-  std::vector<Time> ran;
-  int next = 0;
-  std::string skip;
-  const auto load = [&](Duration length) {
-    const Time end = fleet.now() + length;
+  REQUIRE(SetUpBookings(fleet));
+  std::vector<Time> sent_times;
+  int next_request = 0;
+  std::string skipped_entry;
+  const auto send_load = [&](Duration duration) {
+    const Time end = fleet.now() + duration;
     while (fleet.now() < end) {
-      for (const std::string& at : fleet.instances()) {
-        if (at == skip)
+      for (const std::string& entry_name : fleet.instances()) {
+        if (entry_name == skipped_entry)
           continue;
         entry::CallerRequest read = Read("get n", "key-of-the-brasserie");
         read.timeout = milliseconds(300);
-        fleet.Call("q" + std::to_string(next++), at, read);
+        fleet.Call("q" + std::to_string(next_request++), entry_name, read);
       }
       fleet.Run(milliseconds(10));
     }
   };
-  load(seconds(2));
+  send_load(seconds(2));
   SECTION("when an entry dies with its share and restarts") {
     fleet.Kill("e4");
-    skip = "e4";
-    load(seconds(1));
+    skipped_entry = "e4";
+    send_load(seconds(1));
     fleet.Restart("e4");
-    skip.clear();
-    load(seconds(4));
+    skipped_entry.clear();
+    send_load(seconds(4));
   }
   SECTION("when the owner of the bucket fails over") {
-    skip = fleet.ControlLeader();
-    fleet.Kill(skip);
-    load(seconds(6));
+    skipped_entry = fleet.ControlLeader();
+    fleet.Kill(skipped_entry);
+    send_load(seconds(6));
   }
-  SECTION("when the owner is isolated and thinks that it still owns") {
+  SECTION("when the owner is isolated and still acts as the owner") {
     fleet.Isolate(fleet.ControlLeader());
-    load(seconds(3));
+    send_load(seconds(3));
     fleet.HealAll();
-    load(seconds(3));
+    send_load(seconds(3));
   }
   fleet.Run(seconds(1));
   for (const auto& [sent, call] : fleet.sent_calls()) {
     if (call.operation == coordinator::EndpointOperation::kStatement)
-      ran.push_back(sent);
-  }
-  REQUIRE(ran.size() > 100);
-  std::size_t worst = 0;
-  for (std::size_t first = 0; first < ran.size(); ++first) {
-    for (std::size_t last = first; last < ran.size(); ++last) {
-      const double length =
-          std::chrono::duration<double>(ran[last] - ran[first]).count();
-      const double allowed = 100.0 * length + 20.0;
-      const double took = static_cast<double>(last - first + 1);
+      sent_times.push_back(sent);
+  }
+  REQUIRE(sent_times.size() > 100);
+  std::size_t violations = 0;
+  for (std::size_t first = 0; first < sent_times.size(); ++first) {
+    for (std::size_t last = first; last < sent_times.size(); ++last) {
+      const double elapsed_s =
+          std::chrono::duration<double>(sent_times[last] - sent_times[first])
+              .count();
+      const double allowed = 100.0 * elapsed_s + 20.0;
+      const double sent_count = static_cast<double>(last - first + 1);
       // A statement leaves its coordinator up to 5 ms after its token was
-      // taken, which is half a request at this rate.
-      if (took > allowed + 1.0)
-        ++worst;
+      // taken, which is worth half a request at this rate.
+      if (sent_count > allowed + 1.0)
+        ++violations;
     }
   }
-  CHECK(worst == 0);
+  CHECK(violations == 0);
 }
 
 }  // namespace goldcrest::sessions
--- a/sessions/tests/requests.cc
+++ b/sessions/tests/requests.cc
@@ -8,7 +8,8 @@
 namespace goldcrest::sessions {
 namespace {
 
-constexpr std::int64_t kMicros = 1'000'000;
+// Quotas are configured in millionths of a request.
+constexpr std::int64_t kMicrosPerUnit = 1'000'000;
 
 messages::Object Access(const std::string& name,
                         messages::AccessMode::type mode,
@@ -60,15 +61,15 @@
   quota.kind = messages::ObjectKind::QUOTA;
   quota.name = plan;
   quota.__set_callers("plan=" + plan);
-  quota.__set_rate_micros(rate * kMicros);
-  quota.__set_burst_micros(burst * kMicros);
+  quota.__set_rate_micros(rate * kMicrosPerUnit);
+  quota.__set_burst_micros(burst * kMicrosPerUnit);
   quota.__set_order(10);
   return quota;
 }
 
-messages::Change ChangeOf(const std::string& id,
-                          std::int64_t base_revision,
-                          std::vector<messages::Object> objects) {
+messages::Change MakeChange(const std::string& id,
+                            std::int64_t base_revision,
+                            std::vector<messages::Object> objects) {
   messages::Change change;
   change.change_id = id;
   change.base_revision = base_revision;
@@ -77,25 +78,25 @@
   return change;
 }
 
-bool Prepare(Fleet& fleet) {
+bool SetUpBookings(Fleet& fleet) {
   using std::chrono::seconds;
   if (!fleet.RunUntil([&] { return !fleet.ControlLeader().empty(); },
                       seconds(5)))
     return false;
   const auto answer = fleet.Configure(
-      "e1",
-      ChangeOf("setup", 0,
-               {Customer("town-hall", "office"), Customer("brasserie", "shop"),
-                Key("k-town-hall", "town-hall", kTownHallKey),
-                Key("k-brasserie", "brasserie", "key-of-the-brasserie"),
-                Quota("office", 1'000, 1'000), Quota("shop", 100, 20),
-                Access("dashboards", messages::AccessMode::READ, 1),
-                Access("bookings", messages::AccessMode::WRITE, 2)}));
+      "e1", MakeChange(
+                "setup", 0,
+                {Customer("town-hall", "office"), Customer("brasserie", "shop"),
+                 Key("k-town-hall", "town-hall", kTownHallKey),
+                 Key("k-brasserie", "brasserie", "key-of-the-brasserie"),
+                 Quota("office", 1'000, 1'000), Quota("shop", 100, 20),
+                 Access("dashboards", messages::AccessMode::READ, 1),
+                 Access("bookings", messages::AccessMode::WRITE, 2)}));
   if (answer.code != 0)
     return false;
   const bool serves = fleet.RunUntil(
       [&] { return !fleet.CoordinatorOf("bookings").empty(); }, seconds(10));
-  // Buckets start empty and replicas pull.
+  // Lets the rate buckets, which start empty, fill and the replicas catch up.
   fleet.Run(seconds(2));
   return serves;
 }
--- a/sessions/tests/requests.h
+++ b/sessions/tests/requests.h
@@ -7,22 +7,28 @@
 
 namespace goldcrest::sessions {
 
-//! The text of the key that Prepare() issues to the customer "town-hall".
+//! API key that SetUpBookings() registers for the customer "town-hall".
 inline constexpr const char* kTownHallKey = "key-of-the-town-hall";
 
-//! Registers customers, keys and rules for the group "bookings" and waits until
-//! it serves. Reads accept data of 10 s.
-bool Prepare(Fleet& fleet);
+//! Registers customers, keys, quotas and access rules for the group "bookings"
+//! and runs until the group serves. Reads accept data up to 10 s old. Returns
+//! false if the group does not serve.
+bool SetUpBookings(Fleet& fleet);
+
+// Configuration objects and changes.
 
 messages::Object Customer(const std::string& name, const std::string& plan);
 messages::Object Key(const std::string& name,
                      const std::string& customer,
                      const std::string& text);
 messages::Object KeyWithdrawal(const std::string& name);
+//! `rate` is in requests a second, `burst` in requests.
 messages::Object Quota(const std::string& plan, int rate, int burst);
-messages::Change ChangeOf(const std::string& id,
-                          std::int64_t base_revision,
-                          std::vector<messages::Object> objects);
+messages::Change MakeChange(const std::string& id,
+                            std::int64_t base_revision,
+                            std::vector<messages::Object> objects);
+
+// Requests to the group "bookings".
 
 entry::CallerRequest Write(const std::string& statement,
                            const std::string& request_id = "",
@@ -34,8 +40,8 @@
                                    const std::string& statement,
                                    const std::string& request_id = "");
 
-//! Checks the transcript against tests/golden/NAME.txt and shows the first
-//! difference.
+//! Checks that the transcript equals tests/golden/NAME.txt and reports the
+//! first difference.
 void CheckGolden(const Fleet& fleet, const std::string& name);
 
 }  // namespace goldcrest::sessions
--- a/sessions/tests/stop_test.cc
+++ b/sessions/tests/stop_test.cc
@@ -9,7 +9,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// A leaving endpoint gets no new work after this time.
+// Longest time until a leaving endpoint gets no new statements.
 constexpr Duration kLeavingBound = seconds(3);
 
 messages::Object LeavingLabel(const std::string& endpoint) {
@@ -30,21 +30,23 @@
   return count;
 }
 
-// One read and one write each 20 ms through entries in turn.
+// Sends one write and one read every 20 ms, `count` times, through each of the
+// entries in turn.
 void SendLoad(Fleet& fleet,
               const std::string& label,
               int count,
               const std::vector<std::string>& entries) {
   for (int i = 0; i < count; ++i) {
-    const std::string& at =
+    const std::string& entry_name =
         entries[static_cast<std::size_t>(i) % entries.size()];
-    fleet.Call(label + " write " + std::to_string(i), at,
+    fleet.Call(label + " write " + std::to_string(i), entry_name,
                Write("incr n", label + std::to_string(i)));
-    fleet.Call(label + " read " + std::to_string(i), at, Read("get n"));
+    fleet.Call(label + " read " + std::to_string(i), entry_name, Read("get n"));
     fleet.Run(milliseconds(20));
   }
 }
 
+// Counts requests of SendLoad() that were not answered with success.
 int CountFailed(const Fleet& fleet, const std::string& label, int count) {
   int failed = 0;
   for (int i = 0; i < count; ++i) {
@@ -59,26 +61,28 @@
 
 }  // namespace
 
-TEST_CASE("A leaving endpoint gets no new work and nothing is cut",
+TEST_CASE("A leaving endpoint gets no new statements and no request fails",
           "[sessions][guarantee]") {
+  // Guards against statements that are sent to an endpoint that is about to
+  // stop.
   Fleet fleet(4, 3);
   FakeGroup& group = fleet.AddGroup("bookings", 3, 3);
-  REQUIRE(Prepare(fleet));
+  REQUIRE(SetUpBookings(fleet));
   const std::vector<std::string> entries = {"e1", "e2", "e3", "e4"};
   SendLoad(fleet, "before", 5, entries);
 
   std::string leaving = "bookings-2";
   SECTION("a replica, by an operator's label") {
     REQUIRE(fleet
-                .Configure("e2",
-                           ChangeOf("leave", -1, {LeavingLabel("bookings-2")}))
+                .Configure(
+                    "e2", MakeChange("leave", -1, {LeavingLabel("bookings-2")}))
                 .code == 0);
   }
   SECTION("the primary, by an operator's label") {
     leaving = "bookings-1";
     REQUIRE(fleet
-                .Configure("e2",
-                           ChangeOf("leave", -1, {LeavingLabel("bookings-1")}))
+                .Configure(
+                    "e2", MakeChange("leave", -1, {LeavingLabel("bookings-1")}))
                 .code == 0);
     SendLoad(fleet, "during", 20, entries);
     fleet.Run(seconds(1));
@@ -99,15 +103,15 @@
   CHECK(StatementsSent(fleet, leaving) == sent);
 }
 
-TEST_CASE("A leaving primary keeps what it has until another has it",
+TEST_CASE("A leaving primary is replaced without losing statements or writes",
           "[sessions][guarantee]") {
-  // Guards against a planned promotion that cuts a statement or loses a write
-  // that was acknowledged by the primary alone.
+  // Guards against a planned promotion that interrupts a running statement or
+  // loses a write that only the primary has acknowledged.
   Fleet fleet(4, 3);
   FakeGroup& group = fleet.AddGroup("bookings", 3, 3);
-  REQUIRE(Prepare(fleet));
+  REQUIRE(SetUpBookings(fleet));
   const messages::Change leave =
-      ChangeOf("leave", -1, {LeavingLabel("bookings-1")});
+      MakeChange("leave", -1, {LeavingLabel("bookings-1")});
 
   SECTION("a statement that runs") {
     fleet.DelayAnswers("bookings-1", milliseconds(400));
@@ -119,30 +123,32 @@
     CHECK(CountFailed(fleet, "during", 20) == 0);
     CHECK(fleet.AnswerTo("slow")->code == ResultCode::kOk);
   }
-  SECTION("a write that no replica has yet") {
+  SECTION("a write that has not reached a replica") {
     messages::Object rule = *fleet.entry("e1").view().configuration().Find(
         messages::ObjectKind::ACCESS, "bookings");
     rule.__set_durability(messages::Durability::PRIMARY);
-    REQUIRE(fleet.Configure("e2", ChangeOf("risk", -1, {rule})).code == 0);
+    REQUIRE(fleet.Configure("e2", MakeChange("risk", -1, {rule})).code == 0);
     group.member("bookings-2").lag = seconds(1);
     group.member("bookings-3").lag = seconds(1);
     CHECK(fleet.CallAndWait("write", "e4", Write("set a 1")).code ==
           ResultCode::kOk);
     REQUIRE(fleet.Configure("e2", leave).code == 0);
     fleet.Run(seconds(2));
-    CHECK(group.TimesRun(fleet.PrimaryOf("bookings"), "set a 1") == 1);
+    CHECK(group.CountRuns(fleet.PrimaryOf("bookings"), "set a 1") == 1);
   }
   CHECK(fleet.PrimaryOf("bookings") != "bookings-1");
 }
 
-TEST_CASE("A replica with the label of a leaving one is not promoted",
+TEST_CASE("A replica that is labelled as leaving is not promoted",
           "[sessions][guarantee]") {
+  // Guards against an unplanned promotion of an endpoint that is about to stop.
   Fleet fleet(4, 3);
   fleet.AddGroup("bookings", 3, 3);
-  REQUIRE(Prepare(fleet));
-  REQUIRE(
-      fleet.Configure("e2", ChangeOf("leave", -1, {LeavingLabel("bookings-2")}))
-          .code == 0);
+  REQUIRE(SetUpBookings(fleet));
+  REQUIRE(fleet
+              .Configure("e2",
+                         MakeChange("leave", -1, {LeavingLabel("bookings-2")}))
+              .code == 0);
   fleet.KillEndpoint("bookings-1");
   CHECK(fleet.CallAndWait("write", "e4", Write("set a 1", "w1")).code ==
         ResultCode::kOk);
@@ -155,9 +161,10 @@
 
 TEST_CASE("An entry stops after its own requests have ended",
           "[sessions][guarantee]") {
+  // Guards against a stopping entry that drops requests in flight.
   Fleet fleet(4, 3);
   fleet.AddGroup("bookings", 3, 3);
-  REQUIRE(Prepare(fleet));
+  REQUIRE(SetUpBookings(fleet));
   fleet.DelayAnswers("bookings-1", milliseconds(500));
   fleet.Call("slow", "e4", Write("set slow 1"));
   fleet.Run(milliseconds(50));
@@ -169,9 +176,11 @@
 }
 
 TEST_CASE("A planned stop cuts no request", "[sessions][guarantee]") {
+  // Guards against requests that fail while a stopping instance hands over its
+  // roles.
   Fleet fleet(4, 3);
   fleet.AddGroup("bookings", 3, 3);
-  REQUIRE(Prepare(fleet));
+  REQUIRE(SetUpBookings(fleet));
   std::string stopping;
   SECTION("of the group's coordinator") {
     stopping = fleet.CoordinatorOf("bookings");
--- a/sessions/tests/write_path_test.cc
+++ b/sessions/tests/write_path_test.cc
@@ -8,9 +8,10 @@
 
 TEST_CASE("A write and its own read through another entry",
           "[sessions][guarantee]") {
+  // Guards against a read at another entry that misses the session's write.
   Fleet fleet(4, 3);
   fleet.AddGroup("bookings", 3, 3);
-  REQUIRE(Prepare(fleet));
+  REQUIRE(SetUpBookings(fleet));
 
   const auto write =
       fleet.CallAndWait("write", "e4", Write("set facade booked", "w1"));
