--- a/testing/include/goldcrest/testing/http_listener.h
+++ b/testing/include/goldcrest/testing/http_listener.h
@@ -18,7 +18,7 @@
 namespace goldcrest::testing {
 
 struct HttpRequest {
-  std::uint64_t connection = 0;
+  std::uint64_t connection = 0;  //!< Id within the listener, from 1.
   std::string method;
   std::string target;
   std::vector<std::pair<std::string, std::string>> headers;
@@ -28,8 +28,8 @@
 struct HttpReply {
   int status = 200;
   std::string body;
-  bool close = false;  //!< Close the connection after the answer.
-  bool drop = false;   //!< Close the connection without an answer.
+  bool close = false;  //!< Close the connection after the response.
+  bool drop = false;   //!< Close the connection without a response.
 };
 
 //! HTTP server with one thread per connection.
@@ -38,11 +38,11 @@
   struct Options {
     std::string host;
     std::uint16_t port = 0;
-    int max_connections = 0;
-    std::chrono::milliseconds open_time{0};  //!< Spent on each new connection.
-    std::chrono::milliseconds idle_limit{0};
+    int max_connections = 0;  //!< Further connections are closed at once.
+    std::chrono::milliseconds open_delay{0};  //!< Before serving a connection.
+    std::chrono::milliseconds idle_timeout{0};  //!< Closes idle connections.
   };
-  //! Called from the connections' threads.
+  //! Called from the connection threads.
   struct Hooks {
     std::function<void(std::uint64_t connection)> on_open;
     std::function<HttpReply(const HttpRequest&)> on_request;
@@ -61,10 +61,11 @@
  private:
   using Socket = boost::asio::ip::tcp::socket;
 
-  void Accept();
-  void Serve(Socket socket, std::uint64_t connection);
-  //! Answers one request; false when the connection ends.
-  bool ServeOne(Socket& socket, std::uint64_t connection);
+  void AcceptConnections();
+  void ServeConnection(Socket socket, std::uint64_t connection);
+  //! Reads one request and responds; returns false when the connection is to be
+  //! closed.
+  bool ServeRequest(Socket& socket, std::uint64_t connection);
 
   const Options options_;
   const Hooks hooks_;
@@ -72,9 +73,10 @@
   boost::asio::ip::tcp::acceptor acceptor_;
   std::uint16_t port_ = 0;
   std::mutex mutex_;
-  std::condition_variable closed_;
+  std::condition_variable connection_closed_;
   bool stopping_ = false;
-  std::map<std::uint64_t, int> open_;  // connection to its file descriptor
+  std::map<std::uint64_t, int>
+      open_sockets_;  // connection id to file descriptor
   std::uint64_t next_connection_ = 1;
   std::thread acceptor_thread_;
 };
--- a/testing/internal/faults.h
+++ b/testing/internal/faults.h
@@ -9,44 +9,50 @@
 
 namespace goldcrest::testing {
 
-//! Faults that tests switch on in a stand-in server. Thread-safe.
+//! Faults that tests inject into a stand-in server. Thread-safe.
 class Faults {
  public:
   explicit Faults(std::chrono::milliseconds lag) : lag_(lag) {}
 
-  //! False when there is no such kind. See docs/stand-in.md for the kinds.
+  //! Returns false when `kind` is unknown. docs/stand-in.md lists the kinds and
+  //! the meaning and unit of `value` for each.
   bool Set(const std::string& kind, std::int64_t value);
-  //! Ends all waits; called once when the server stops.
+  //! Ends all waits. Called once, when the server stops.
   void Stop();
   bool stopped() const;
 
   std::chrono::milliseconds lag() const;
   bool replication_cut() const;
-  //! Waits while the server is frozen.
+  //! Blocks while `freeze_ms` is in effect or until the server stops.
   void WaitWhileFrozen() const;
-  void WaitAnswerDelay() const;
-  //! Waits until the server stops if `connection` has gone silent.
-  void WaitIfSilent(std::uint64_t connection) const;
-  //! Called with each new connection's number.
-  void OnConnection(std::uint64_t connection);
-  //! True when this answer is to be dropped.
-  bool TakeDrop();
-  //! Returns the body to send in place of `answer`.
-  std::string TakeCrossed(const std::string& answer);
+  //! Blocks for `delay_answer_ms` or until the server stops.
+  void WaitResponseDelay() const;
+  //! Blocks while `silence_connections` applies to `connection` or until the
+  //! server stops.
+  void WaitWhileSilenced(std::uint64_t connection) const;
+  //! Called for each new connection; ids increase. `silence_connections`
+  //! applies to the connections recorded before it is set.
+  void RecordConnection(std::uint64_t connection);
+  //! Returns true, and counts down `drop_answer`, when the current response is
+  //! to be dropped.
+  bool ConsumeResponseDrop();
+  //! Returns the body to send for `response`: the body of the previous response
+  //! while `cross_answers` applies, else `response` itself.
+  std::string SubstituteResponse(const std::string& response);
 
  private:
   mutable std::mutex mutex_;
-  mutable std::condition_variable changed_;
+  mutable std::condition_variable state_changed_;
   bool stopped_ = false;
   std::chrono::milliseconds lag_;
-  std::chrono::milliseconds answer_delay_{0};
+  std::chrono::milliseconds response_delay_{0};
   std::chrono::steady_clock::time_point frozen_until_;
-  bool cut_ = false;
-  std::int64_t drops_ = 0;
-  std::int64_t crosses_ = 0;
-  std::string last_answer_;
+  bool replication_cut_ = false;
+  std::int64_t remaining_drops_ = 0;
+  std::int64_t remaining_substitutions_ = 0;
+  std::string previous_response_;
   std::uint64_t last_connection_ = 0;
-  std::uint64_t silent_up_to_ = 0;
+  std::uint64_t last_silenced_connection_ = 0;
 };
 
 }  // namespace goldcrest::testing
--- a/testing/internal/log_entry.h
+++ b/testing/internal/log_entry.h
@@ -8,7 +8,8 @@
 
 namespace goldcrest::testing {
 
-//! The first result of a request with an id, kept so that a resend gets it.
+//! First result of a request with an id, stored so that a resent request gets
+//! the same result.
 struct RequestResult {
   std::string request_id;
   std::string statement;
@@ -20,20 +21,20 @@
   std::string value;
 };
 
-//! What one write or one committed transaction changed. It replicates as a
-//! whole, so a replica never holds half a transaction.
+//! Changes of one write or one committed transaction. An entry replicates as a
+//! whole, so a replica never holds part of a transaction.
 struct LogEntry {
   std::int64_t position = 0;
   std::int64_t term = 0;
   std::vector<RequestResult> results;
   std::vector<KeyValue> writes;
-  std::chrono::steady_clock::time_point added;  //!< At this server.
+  std::chrono::steady_clock::time_point added_at;  //!< To this server.
 };
 
-//! Consecutive entries of one term, up to and including position `last`.
-struct TermRun {
+//! Consecutive log entries of one term; `last_position` is inclusive.
+struct TermRange {
   std::int64_t term = 0;
-  std::int64_t last = 0;
+  std::int64_t last_position = 0;
 };
 
 }  // namespace goldcrest::testing
--- a/testing/internal/seen_requests.h
+++ b/testing/internal/seen_requests.h
@@ -8,15 +8,15 @@
 
 namespace goldcrest::testing {
 
-//! Every different target, header and body received, so that a test can search
-//! them for a caller's key. Thread-safe.
+//! Distinct targets, headers and bodies of the received requests, so that tests
+//! can search them, for example for a caller's key. Thread-safe.
 class SeenRequests {
  public:
   void AddTarget(std::string text) { Add(targets_, std::move(text)); }
   void AddHeader(std::string text) { Add(headers_, std::move(text)); }
   void AddBody(std::string text) { Add(bodies_, std::move(text)); }
-  //! `dropped` counts what was not kept; a search is complete only when it is
-  //! 0.
+  //! `dropped` counts the texts that were not stored because their set was
+  //! full; the record is complete only when it is 0.
   std::string ToJson() const;
 
  private:
--- a/testing/internal/standin_json.h
+++ b/testing/internal/standin_json.h
@@ -13,22 +13,24 @@
 
 namespace goldcrest::testing {
 
-//! Nullopt when `body` is not a JSON object.
+//! Returns nullopt when `body` is not a JSON object.
 std::optional<boost::json::object> ParseObject(std::string_view body);
-//! "" or 0 when there is no such field of that type.
+//! Return "" or 0 when the object has no member `key` of that type.
 std::string TextAt(const boost::json::object& object, std::string_view key);
 std::int64_t NumberAt(const boost::json::object& object, std::string_view key);
 std::int64_t NumberAt(const boost::json::object& object,
                       std::string_view key,
-                      std::int64_t missing);
+                      std::int64_t default_value);
 
-//! Nullopt when the kind is unknown.
+//! Returns nullopt when the kind is unknown. The deadline is counted from now.
 std::optional<StatementRequest> ToStatementRequest(
     const boost::json::object& object);
-std::string ToJson(const StatementAnswer& answer);
-std::string ToJson(const Database::PullAnswer& answer, std::int64_t term);
-std::optional<Database::PullAnswer> ToPullAnswer(std::string_view body,
-                                                 std::int64_t term);
+std::string ToJson(const StatementResponse& response);
+std::string ToJson(const Database::PullResponse& response, std::int64_t term);
+//! Returns nullopt when `body` is not a JSON object or of another term. Throws
+//! when an array element is not an object.
+std::optional<Database::PullResponse> ToPullResponse(std::string_view body,
+                                                     std::int64_t term);
 
 }  // namespace goldcrest::testing
 
--- a/testing/src/database.cc
+++ b/testing/src/database.cc
@@ -12,27 +12,27 @@
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 
-// Entries in one answer to a pull; bounds its size.
+// Bounds the size of a pull response.
 constexpr std::size_t kMaxPulledEntries = 2000;
 constexpr std::int64_t kMaxSleepMs = 60'000;
 
-struct Words {
+struct ParsedStatement {
   std::string verb;
   std::string key;
-  std::string rest;
+  std::string argument;
 };
 
-Words Split(const std::string& statement) {
-  Words words;
+ParsedStatement ParseStatement(const std::string& statement) {
+  ParsedStatement parsed;
   const std::size_t first = statement.find(' ');
-  words.verb = statement.substr(0, first);
+  parsed.verb = statement.substr(0, first);
   if (first == std::string::npos)
-    return words;
+    return parsed;
   const std::size_t second = statement.find(' ', first + 1);
-  words.key = statement.substr(first + 1, second - first - 1);
+  parsed.key = statement.substr(first + 1, second - first - 1);
   if (second != std::string::npos)
-    words.rest = statement.substr(second + 1);
-  return words;
+    parsed.argument = statement.substr(second + 1);
+  return parsed;
 }
 
 std::optional<std::int64_t> ParseNumber(std::string_view text) {
@@ -48,22 +48,23 @@
   return verb == "set" || verb == "incr" || verb == "append";
 }
 
-// Time that a statement takes, beyond what the server adds to each.
-milliseconds SleepTime(const std::string& statement) {
-  const Words words = Split(statement);
-  if (words.verb != "sleep")
+// Duration of a sleep statement, without the delay added to every statement;
+// 0 for other statements.
+milliseconds GetSleepDuration(const std::string& statement) {
+  const ParsedStatement parsed = ParseStatement(statement);
+  if (parsed.verb != "sleep")
     return milliseconds(0);
-  const std::int64_t time = ParseNumber(words.key).value_or(0);
-  return milliseconds(std::clamp<std::int64_t>(time, 0, kMaxSleepMs));
+  const std::int64_t duration_ms = ParseNumber(parsed.key).value_or(0);
+  return milliseconds(std::clamp<std::int64_t>(duration_ms, 0, kMaxSleepMs));
 }
 
-// Nullopt when the statement fails.
-std::optional<std::string> NewValue(const Words& words,
-                                    const std::string& old_value) {
-  if (words.verb == "set")
-    return words.rest;
-  if (words.verb == "append")
-    return old_value + words.rest;
+// Returns nullopt when the old value can't be incremented.
+std::optional<std::string> ComputeNewValue(const ParsedStatement& parsed,
+                                           const std::string& old_value) {
+  if (parsed.verb == "set")
+    return parsed.argument;
+  if (parsed.verb == "append")
+    return old_value + parsed.argument;
   const auto number = ParseNumber(old_value.empty() ? "0" : old_value);
   if (!number || *number == INT64_MAX)
     return std::nullopt;
@@ -72,43 +73,44 @@
 
 }  // namespace
 
-StatementAnswer Database::Execute(const StatementRequest& request,
-                                  std::uint64_t connection) {
+StatementResponse Database::Execute(const StatementRequest& request,
+                                    std::uint64_t connection) {
   Lock lock(mutex_);
-  StatementAnswer answer;
-  answer.call_id = request.call_id;
-  answer.reason = Refusal(request, connection);
-  // A resent commit names a transaction that has ended, so the request id is
-  // looked up before that is a reason to refuse.
-  const bool may_be_known =
-      answer.reason.empty() || answer.reason == "unknown_transaction";
-  const bool answered = may_be_known && AnswerKnown(request, answer);
-  if (!answered && answer.reason.empty())
-    Dispatch(lock, request, connection, answer);
-  answer.term = term_;
-  if (answer.position == 0)
-    answer.position = VisiblePosition();
-  return answer;
+  StatementResponse response;
+  response.call_id = request.call_id;
+  response.reason = FindRefusalReason(request, connection);
+  // A resent commit names a transaction that has already ended, so the request
+  // id is looked up before the unknown transaction leads to a refusal.
+  const bool may_have_result =
+      response.reason.empty() || response.reason == "unknown_transaction";
+  const bool result_found =
+      may_have_result && AnswerFromStoredResult(request, response);
+  if (!result_found && response.reason.empty())
+    Dispatch(lock, request, connection, response);
+  response.term = term_;
+  if (response.position == 0)
+    response.position = VisiblePosition();
+  return response;
 }
 
 void Database::Dispatch(Lock& lock,
                         const StatementRequest& request,
                         std::uint64_t connection,
-                        StatementAnswer& answer) {
+                        StatementResponse& response) {
   switch (request.kind) {
     case StatementKind::kBegin:
-      Begin(lock, request, connection, answer);
+      Begin(lock, request, connection, response);
       return;
     case StatementKind::kCommit:
-      Commit(request, answer);
+      Commit(request, response);
       return;
     case StatementKind::kRollback:
-      Discard(request.transaction);
-      answer.status = StatementStatus::kDone;
+      DiscardTransaction(request.transaction);
+      response.status = StatementStatus::kDone;
       return;
     case StatementKind::kRead:
     case StatementKind::kWrite:
-      Run(lock, request, connection, answer);
+      RunStatement(lock, request, connection, response);
       return;
   }
 }
@@ -121,24 +123,25 @@
       open.push_back(id);
   }
   for (const std::string& id : open)
-    Discard(id);
+    DiscardTransaction(id);
 }
 
 bool Database::Promote(std::int64_t term) {
   const Lock lock(mutex_);
   if (term == term_ && primary_)
-    return true;  // a resent order
+    return true;  // the promotion was resent
   if (term <= term_)
     return false;
-  DiscardAll();
+  DiscardAllTransactions();
   term_ = term;
   primary_ = true;
-  verified_ = true;
+  log_verified_ = true;
   source_.reset();
-  // An empty entry starts the term. A member that holds it holds everything
-  // before it, which the position of an entry of an earlier term does not say.
-  Append({}, {});
-  term_start_ = store_.position();
+  // An empty entry starts the term. A member that holds an entry of this term
+  // holds all entries before it; the position of an entry of an earlier term
+  // does not guarantee that.
+  AppendEntry({}, {});
+  term_start_position_ = store_.position();
   return true;
 }
 
@@ -147,10 +150,10 @@
   if (source.term < term_ || (source.term == term_ && primary_))
     return false;
   if (source.term > term_) {
-    DiscardAll();
+    DiscardAllTransactions();
     term_ = source.term;
     primary_ = false;
-    verified_ = false;
+    log_verified_ = false;
   }
   source_ = source;
   return true;
@@ -166,33 +169,35 @@
   status.log_position = store_.position();
   if (!primary_)
     status.age = std::chrono::duration_cast<milliseconds>(steady_clock::now() -
-                                                          complete_at_);
-  status.running = running_;
-  status.transactions = static_cast<int>(transactions_.size());
+                                                          complete_as_of_);
+  status.running_statements = running_statements_;
+  status.open_transactions = static_cast<int>(transactions_.size());
   return status;
 }
 
-std::optional<Store::Known> Database::FindRequest(
+std::optional<Store::StoredResult> Database::FindRequestResult(
     const std::string& request_id) const {
   const Lock lock(mutex_);
-  if (!verified_)
+  if (!log_verified_)
     return std::nullopt;
-  return store_.Find(request_id);
+  return store_.FindResult(request_id);
 }
 
-Database::Outcome Database::Fence(std::int64_t term,
-                                  const std::string& request_id) {
+Database::FenceResult Database::FindOrFenceRequest(
+    std::int64_t term,
+    const std::string& request_id) {
   const Lock lock(mutex_);
-  Outcome outcome;
-  outcome.refused = !primary_ || term != term_;
-  if (outcome.refused)
-    return outcome;
-  outcome.known = store_.Find(request_id);
-  if (outcome.known)
-    outcome.known->position = std::max(outcome.known->position, term_start_);
+  FenceResult result;
+  result.refused = !primary_ || term != term_;
+  if (result.refused)
+    return result;
+  result.stored = store_.FindResult(request_id);
+  if (result.stored)
+    result.stored->position =
+        std::max(result.stored->position, term_start_position_);
   else
     fenced_ids_.insert(request_id);
-  return outcome;
+  return result;
 }
 
 std::optional<Database::Source> Database::source() const {
@@ -205,69 +210,70 @@
   return store_.position() + 1;
 }
 
-void Database::ApplyPull(const Source& source,
-                         PullAnswer answer,
-                         steady_clock::time_point sent,
-                         milliseconds lag) {
+void Database::ApplyPullResponse(const Source& source,
+                                 PullResponse response,
+                                 steady_clock::time_point sent_at,
+                                 milliseconds lag) {
   const Lock lock(mutex_);
   if (!source_ || source_->term != source.term || source_->port != source.port)
     return;
-  const std::int64_t end = store_.position();
-  store_.Truncate(store_.CommonPrefix(answer.runs));
-  verified_ = true;
-  if (store_.position() != end)
-    return;  // the entries were asked for from the old end
-  for (LogEntry& entry : answer.entries) {
+  const std::int64_t old_end = store_.position();
+  store_.Truncate(store_.CommonPrefix(response.term_ranges));
+  log_verified_ = true;
+  if (store_.position() != old_end)
+    return;  // the entries were requested for the position after old_end
+  for (LogEntry& entry : response.entries) {
     if (entry.position != store_.position() + 1)
       continue;
-    entry.added = steady_clock::now();
+    entry.added_at = steady_clock::now();
     store_.Append(std::move(entry));
   }
-  if (answer.complete)
-    complete_at_ = sent - lag;
+  if (response.complete)
+    complete_as_of_ = sent_at - lag;
 }
 
-std::optional<Database::PullAnswer> Database::ReadLog(std::int64_t term,
-                                                      std::int64_t from,
-                                                      milliseconds lag) const {
+std::optional<Database::PullResponse> Database::ReadLog(
+    std::int64_t term,
+    std::int64_t first_position,
+    milliseconds lag) const {
   const Lock lock(mutex_);
   if (!primary_ || term != term_)
     return std::nullopt;
-  PullAnswer answer;
-  answer.runs = store_.Runs();
-  answer.complete = true;
-  const auto newest = steady_clock::now() - lag;
-  for (std::int64_t p = std::max<std::int64_t>(from, 1); p <= store_.position();
-       ++p) {
+  PullResponse response;
+  response.term_ranges = store_.TermRanges();
+  response.complete = true;
+  const auto newest_added = steady_clock::now() - lag;
+  for (std::int64_t p = std::max<std::int64_t>(first_position, 1);
+       p <= store_.position(); ++p) {
     const LogEntry& entry = store_.log()[static_cast<std::size_t>(p - 1)];
-    if (entry.added > newest)
+    if (entry.added_at > newest_added)
       break;
-    if (answer.entries.size() == kMaxPulledEntries) {
-      answer.complete = false;
+    if (response.entries.size() == kMaxPulledEntries) {
+      response.complete = false;
       break;
     }
-    answer.entries.push_back(entry);
+    response.entries.push_back(entry);
   }
-  return answer;
+  return response;
 }
 
-std::string Database::Refusal(const StatementRequest& request,
-                              std::uint64_t connection) const {
+std::string Database::FindRefusalReason(const StatementRequest& request,
+                                        std::uint64_t connection) const {
   if (request.term < term_)
     return "stale_term";
   if (request.term > term_)
     return "unknown_term";
-  const bool read =
+  const bool is_plain_read =
       request.kind == StatementKind::kRead && request.transaction.empty();
-  if (!read && !primary_)
+  if (!is_plain_read && !primary_)
     return "not_primary";
-  if (!verified_)
+  if (!log_verified_)
     return "not_synced";
   if (fenced_ids_.contains(request.request_id))
     return "fenced";
-  const bool ends = request.kind == StatementKind::kCommit ||
-                    request.kind == StatementKind::kRollback;
-  if (!ends && request.transaction.empty())
+  const bool ends_transaction = request.kind == StatementKind::kCommit ||
+                                request.kind == StatementKind::kRollback;
+  if (!ends_transaction && request.transaction.empty())
     return "";
   const auto it = transactions_.find(request.transaction);
   if (it == transactions_.end() || it->second.connection != connection)
@@ -275,72 +281,74 @@
   return "";
 }
 
-bool Database::AnswerKnown(const StatementRequest& request,
-                           StatementAnswer& answer) const {
+bool Database::AnswerFromStoredResult(const StatementRequest& request,
+                                      StatementResponse& response) const {
   const bool has_result = request.kind == StatementKind::kWrite ||
                           request.kind == StatementKind::kCommit;
   if (!has_result || request.request_id.empty())
     return false;
-  auto known = store_.Find(request.request_id);
+  auto stored = store_.FindResult(request.request_id);
   const auto it = transactions_.find(request.transaction);
-  if (!known && answer.reason.empty() && it != transactions_.end()) {
+  if (!stored && response.reason.empty() && it != transactions_.end()) {
     for (const RequestResult& result : it->second.results) {
       if (result.request_id == request.request_id)
-        known = Store::Known{0, result.statement, result.value};
+        stored = Store::StoredResult{0, result.statement, result.value};
     }
   }
-  if (!known)
+  if (!stored)
     return false;
-  if (known->statement != request.statement) {
-    answer.reason = "request_id_reused";
+  if (stored->statement != request.statement) {
+    response.reason = "request_id_reused";
     return true;
   }
-  answer.reason.clear();
-  answer.status = StatementStatus::kDone;
-  answer.value = known->value;
-  // An entry of an earlier term is safe only with the first entry of this one.
-  if (known->position != 0)
-    answer.position = std::max(known->position, term_start_);
+  response.reason.clear();
+  response.status = StatementStatus::kDone;
+  response.value = stored->value;
+  // An entry of an earlier term is durable only once the first entry of this
+  // term is replicated.
+  if (stored->position != 0)
+    response.position = std::max(stored->position, term_start_position_);
   return true;
 }
 
 void Database::Begin(Lock& lock,
                      const StatementRequest& request,
                      std::uint64_t connection,
-                     StatementAnswer& answer) {
+                     StatementResponse& response) {
   for (const auto& [id, transaction] : transactions_) {
     if (transaction.connection != connection)
       continue;
-    answer.reason = "transaction_open";
+    response.reason = "transaction_open";
     return;
   }
-  if (!TakeSlot(lock, request.deadline)) {
-    answer.reason = "no_slot";
+  if (!AcquireSlot(lock, request.deadline)) {
+    response.reason = "no_slot";
     return;
   }
-  answer.reason = Refusal(request, connection);
-  if (!answer.reason.empty()) {
+  response.reason = FindRefusalReason(request, connection);
+  if (!response.reason.empty()) {
     --used_slots_;
-    changed_.notify_all();
+    state_changed_.notify_all();
     return;
   }
-  answer.transaction =
+  response.transaction =
       std::to_string(term_) + "-" + std::to_string(next_transaction_++);
-  transactions_[answer.transaction].connection = connection;
-  answer.status = StatementStatus::kDone;
+  transactions_[response.transaction].connection = connection;
+  response.status = StatementStatus::kDone;
 }
 
 void Database::Commit(const StatementRequest& request,
-                      StatementAnswer& answer) {
+                      StatementResponse& response) {
   Transaction transaction = std::move(transactions_[request.transaction]);
-  Discard(request.transaction);
+  DiscardTransaction(request.transaction);
   for (const RequestResult& result : transaction.results) {
-    if (!store_.Find(result.request_id))
+    if (!store_.FindResult(result.request_id))
       continue;
-    answer.reason = "request_id_reused";  // it ran outside the transaction
+    // The id also ran outside the transaction.
+    response.reason = "request_id_reused";
     return;
   }
-  answer.status = StatementStatus::kDone;
+  response.status = StatementStatus::kDone;
   if (transaction.writes.empty() && request.request_id.empty())
     return;
   if (!request.request_id.empty())
@@ -348,126 +356,127 @@
   std::vector<KeyValue> writes;
   for (const auto& [key, value] : transaction.writes)
     writes.push_back({key, value});
-  Append(std::move(transaction.results), std::move(writes));
+  AppendEntry(std::move(transaction.results), std::move(writes));
 }
 
-void Database::Run(Lock& lock,
-                   const StatementRequest& request,
-                   std::uint64_t connection,
-                   StatementAnswer& answer) {
-  const bool own_slot = request.transaction.empty();
-  if (own_slot && !TakeSlot(lock, request.deadline)) {
-    answer.reason = "no_slot";
+void Database::RunStatement(Lock& lock,
+                            const StatementRequest& request,
+                            std::uint64_t connection,
+                            StatementResponse& response) {
+  const bool needs_slot = request.transaction.empty();
+  if (needs_slot && !AcquireSlot(lock, request.deadline)) {
+    response.reason = "no_slot";
     return;
   }
-  ++running_;
-  const milliseconds time =
-      options_.statement_time + SleepTime(request.statement);
-  if (time.count() > 0) {
+  ++running_statements_;
+  const milliseconds duration =
+      options_.statement_duration + GetSleepDuration(request.statement);
+  if (duration.count() > 0) {
     lock.unlock();
-    std::this_thread::sleep_for(time);
+    std::this_thread::sleep_for(duration);
     lock.lock();
   }
-  Apply(lock, request, connection, answer);
-  --running_;
-  if (own_slot)
+  ApplyStatement(lock, request, connection, response);
+  --running_statements_;
+  if (needs_slot)
     --used_slots_;
-  changed_.notify_all();
+  state_changed_.notify_all();
 }
 
-void Database::Apply(Lock& lock,
-                     const StatementRequest& request,
-                     std::uint64_t connection,
-                     StatementAnswer& answer) {
-  const Words words = Split(request.statement);
-  const bool writes = IsWriteVerb(words.verb);
+void Database::ApplyStatement(Lock& lock,
+                              const StatementRequest& request,
+                              std::uint64_t connection,
+                              StatementResponse& response) {
+  const ParsedStatement parsed = ParseStatement(request.statement);
+  const bool is_write = IsWriteVerb(parsed.verb);
   const auto key_is_free = [&] {
-    const auto it = locked_keys_.find(words.key);
-    return !writes || it == locked_keys_.end() ||
+    const auto it = locked_keys_.find(parsed.key);
+    return !is_write || it == locked_keys_.end() ||
            it->second == request.transaction;
   };
-  if (!changed_.wait_until(lock, request.deadline, key_is_free)) {
-    answer.reason = "key_locked";
+  if (!state_changed_.wait_until(lock, request.deadline, key_is_free)) {
+    response.reason = "key_locked";
     return;
   }
-  // The term, or a copy of the request, may have changed what holds.
-  answer.reason = Refusal(request, connection);
-  if (!answer.reason.empty() || AnswerKnown(request, answer))
+  // While this request waited, the term may have changed or a copy of the
+  // request may have run.
+  response.reason = FindRefusalReason(request, connection);
+  if (!response.reason.empty() || AnswerFromStoredResult(request, response))
     return;
-  answer.status = StatementStatus::kFailed;
-  if (writes && request.kind == StatementKind::kRead) {
-    answer.reason = "not_a_read";
+  response.status = StatementStatus::kFailed;
+  if (is_write && request.kind == StatementKind::kRead) {
+    response.reason = "not_a_read";
     return;
   }
-  if (words.verb == "sleep") {
-    answer.status = StatementStatus::kDone;
+  if (parsed.verb == "sleep") {
+    response.status = StatementStatus::kDone;
     return;
   }
-  if (words.key.empty() || (!writes && words.verb != "get")) {
-    answer.reason = "unknown_statement";
+  if (parsed.key.empty() || (!is_write && parsed.verb != "get")) {
+    response.reason = "unknown_statement";
     return;
   }
   Transaction* transaction = request.transaction.empty()
                                  ? nullptr
                                  : &transactions_[request.transaction];
-  std::string old_value = store_.Get(words.key);
-  if (transaction && transaction->writes.contains(words.key))
-    old_value = transaction->writes[words.key];
-  if (!writes) {
-    answer.status = StatementStatus::kDone;
-    answer.value = old_value;
+  std::string old_value = store_.Get(parsed.key);
+  if (transaction && transaction->writes.contains(parsed.key))
+    old_value = transaction->writes[parsed.key];
+  if (!is_write) {
+    response.status = StatementStatus::kDone;
+    response.value = old_value;
     return;
   }
-  const auto value = NewValue(words, old_value);
+  const auto value = ComputeNewValue(parsed, old_value);
   if (!value) {
-    answer.reason = "not_a_number";
+    response.reason = "not_a_number";
     return;
   }
-  answer.status = StatementStatus::kDone;
-  answer.value = *value;
+  response.status = StatementStatus::kDone;
+  response.value = *value;
   RequestResult result{request.request_id, request.statement, *value};
   if (!transaction) {
-    Append({std::move(result)}, {{words.key, *value}});
+    AppendEntry({std::move(result)}, {{parsed.key, *value}});
     return;
   }
-  locked_keys_[words.key] = request.transaction;
-  transaction->writes[words.key] = *value;
+  locked_keys_[parsed.key] = request.transaction;
+  transaction->writes[parsed.key] = *value;
   if (!request.request_id.empty())
     transaction->results.push_back(std::move(result));
 }
 
-bool Database::TakeSlot(Lock& lock, steady_clock::time_point deadline) {
-  const bool free = changed_.wait_until(
+bool Database::AcquireSlot(Lock& lock, steady_clock::time_point deadline) {
+  const bool free = state_changed_.wait_until(
       lock, deadline, [this] { return used_slots_ < options_.slots; });
   if (free)
     ++used_slots_;
   return free;
 }
 
-void Database::Discard(const std::string& transaction) {
+void Database::DiscardTransaction(const std::string& transaction) {
   transactions_.erase(transaction);
   std::erase_if(locked_keys_, [&](const auto& locked) {
     return locked.second == transaction;
   });
   --used_slots_;
-  changed_.notify_all();
+  state_changed_.notify_all();
 }
 
-void Database::DiscardAll() {
+void Database::DiscardAllTransactions() {
   while (!transactions_.empty()) {
     const std::string id = transactions_.begin()->first;
-    Discard(id);
+    DiscardTransaction(id);
   }
 }
 
-void Database::Append(std::vector<RequestResult> results,
-                      std::vector<KeyValue> writes) {
+void Database::AppendEntry(std::vector<RequestResult> results,
+                           std::vector<KeyValue> writes) {
   store_.Append({store_.position() + 1, term_, std::move(results),
                  std::move(writes), steady_clock::now()});
 }
 
 std::int64_t Database::VisiblePosition() const {
-  return verified_ ? store_.position() : 0;
+  return log_verified_ ? store_.position() : 0;
 }
 
 }  // namespace goldcrest::testing
--- a/testing/src/faults.cc
+++ b/testing/src/faults.cc
@@ -11,29 +11,29 @@
 bool Faults::Set(const std::string& kind, std::int64_t value) {
   const std::unique_lock lock(mutex_);
   if (kind == "delay_answer_ms")
-    answer_delay_ = milliseconds(value);
+    response_delay_ = milliseconds(value);
   else if (kind == "drop_answer")
-    drops_ = value;
+    remaining_drops_ = value;
   else if (kind == "cut_replication")
-    cut_ = value != 0;
+    replication_cut_ = value != 0;
   else if (kind == "lag_ms")
     lag_ = milliseconds(value);
   else if (kind == "freeze_ms")
     frozen_until_ = steady_clock::now() + milliseconds(value);
   else if (kind == "cross_answers")
-    crosses_ = value;
+    remaining_substitutions_ = value;
   else if (kind == "silence_connections")
-    silent_up_to_ = value != 0 ? last_connection_ : 0;
+    last_silenced_connection_ = value != 0 ? last_connection_ : 0;
   else
     return false;
-  changed_.notify_all();
+  state_changed_.notify_all();
   return true;
 }
 
 void Faults::Stop() {
   const std::unique_lock lock(mutex_);
   stopped_ = true;
-  changed_.notify_all();
+  state_changed_.notify_all();
 }
 
 bool Faults::stopped() const {
@@ -48,48 +48,49 @@
 
 bool Faults::replication_cut() const {
   const std::unique_lock lock(mutex_);
-  return cut_;
+  return replication_cut_;
 }
 
 void Faults::WaitWhileFrozen() const {
   std::unique_lock lock(mutex_);
   while (!stopped_ && steady_clock::now() < frozen_until_)
-    changed_.wait_until(lock, frozen_until_);
+    state_changed_.wait_until(lock, frozen_until_);
 }
 
-void Faults::WaitAnswerDelay() const {
+void Faults::WaitResponseDelay() const {
   std::unique_lock lock(mutex_);
-  if (answer_delay_.count() > 0)
-    changed_.wait_for(lock, answer_delay_, [this] { return stopped_; });
+  if (response_delay_.count() > 0)
+    state_changed_.wait_for(lock, response_delay_, [this] { return stopped_; });
 }
 
-void Faults::WaitIfSilent(std::uint64_t connection) const {
+void Faults::WaitWhileSilenced(std::uint64_t connection) const {
   std::unique_lock lock(mutex_);
-  changed_.wait(lock, [&] { return stopped_ || connection > silent_up_to_; });
+  state_changed_.wait(
+      lock, [&] { return stopped_ || connection > last_silenced_connection_; });
 }
 
-void Faults::OnConnection(std::uint64_t connection) {
+void Faults::RecordConnection(std::uint64_t connection) {
   const std::unique_lock lock(mutex_);
   last_connection_ = std::max(last_connection_, connection);
 }
 
-bool Faults::TakeDrop() {
+bool Faults::ConsumeResponseDrop() {
   const std::unique_lock lock(mutex_);
-  if (drops_ <= 0)
+  if (remaining_drops_ <= 0)
     return false;
-  --drops_;
+  --remaining_drops_;
   return true;
 }
 
-std::string Faults::TakeCrossed(const std::string& answer) {
+std::string Faults::SubstituteResponse(const std::string& response) {
   const std::unique_lock lock(mutex_);
-  std::string sent = answer;
-  if (crosses_ > 0 && !last_answer_.empty()) {
-    --crosses_;
-    sent = last_answer_;
+  std::string substitute = response;
+  if (remaining_substitutions_ > 0 && !previous_response_.empty()) {
+    --remaining_substitutions_;
+    substitute = previous_response_;
   }
-  last_answer_ = answer;
-  return sent;
+  previous_response_ = response;
+  return substitute;
 }
 
 }  // namespace goldcrest::testing
--- a/testing/src/http_listener.cc
+++ b/testing/src/http_listener.cc
@@ -14,12 +14,13 @@
 namespace http = beast::http;
 using boost::system::error_code;
 
-// Pause after a failed accept, such as when no file descriptor is free.
-constexpr std::chrono::milliseconds kAcceptRetry{10};
+// Delay after a failed accept, for example when the process has no free file
+// descriptor.
+constexpr std::chrono::milliseconds kAcceptRetryDelay{10};
 
-bool WaitReadable(int socket, std::chrono::milliseconds limit) {
-  pollfd waited{socket, POLLIN, 0};
-  return poll(&waited, 1, static_cast<int>(limit.count())) > 0;
+bool WaitUntilReadable(int socket, std::chrono::milliseconds timeout) {
+  pollfd descriptor{socket, POLLIN, 0};
+  return poll(&descriptor, 1, static_cast<int>(timeout.count())) > 0;
 }
 
 }  // namespace
@@ -30,24 +31,24 @@
       acceptor_(context_,
                 {asio::ip::make_address(options_.host), options_.port}) {
   port_ = acceptor_.local_endpoint().port();
-  acceptor_thread_ = std::thread([this] { Accept(); });
+  acceptor_thread_ = std::thread([this] { AcceptConnections(); });
 }
 
 HttpListener::~HttpListener() {
   {
     const std::unique_lock lock(mutex_);
     stopping_ = true;
-    // Wakes the threads that are blocked in accept and read.
+    // Unblocks the threads that wait in accept, poll or read.
     shutdown(acceptor_.native_handle(), SHUT_RDWR);
-    for (const auto& [connection, socket] : open_)
+    for (const auto& [connection, socket] : open_sockets_)
       shutdown(socket, SHUT_RDWR);
   }
   acceptor_thread_.join();
   std::unique_lock lock(mutex_);
-  closed_.wait(lock, [this] { return open_.empty(); });
+  connection_closed_.wait(lock, [this] { return open_sockets_.empty(); });
 }
 
-void HttpListener::Accept() {
+void HttpListener::AcceptConnections() {
   while (true) {
     error_code error;
     Socket socket(context_);
@@ -56,36 +57,37 @@
     if (stopping_)
       return;
     if (error) {
-      std::this_thread::sleep_for(kAcceptRetry);
+      std::this_thread::sleep_for(kAcceptRetryDelay);
       continue;
     }
-    if (open_.size() >= static_cast<std::size_t>(options_.max_connections))
-      continue;  // closes it
+    if (open_sockets_.size() >=
+        static_cast<std::size_t>(options_.max_connections))
+      continue;  // the destructor closes the socket
     const std::uint64_t connection = next_connection_++;
-    open_[connection] = socket.native_handle();
+    open_sockets_[connection] = socket.native_handle();
     std::thread([this, connection, socket = std::move(socket)]() mutable {
-      Serve(std::move(socket), connection);
+      ServeConnection(std::move(socket), connection);
     }).detach();
   }
 }
 
-void HttpListener::Serve(Socket socket, std::uint64_t connection) {
+void HttpListener::ServeConnection(Socket socket, std::uint64_t connection) {
   error_code error;
   socket.set_option(asio::ip::tcp::no_delay(true), error);
-  if (options_.open_time.count() > 0)
-    std::this_thread::sleep_for(options_.open_time);
+  if (options_.open_delay.count() > 0)
+    std::this_thread::sleep_for(options_.open_delay);
   hooks_.on_open(connection);
-  while (ServeOne(socket, connection)) {
+  while (ServeRequest(socket, connection)) {
   }
   hooks_.on_close(connection);
   const std::unique_lock lock(mutex_);
   socket.close(error);
-  open_.erase(connection);
-  closed_.notify_all();
+  open_sockets_.erase(connection);
+  connection_closed_.notify_all();
 }
 
-bool HttpListener::ServeOne(Socket& socket, std::uint64_t connection) {
-  if (!WaitReadable(socket.native_handle(), options_.idle_limit))
+bool HttpListener::ServeRequest(Socket& socket, std::uint64_t connection) {
+  if (!WaitUntilReadable(socket.native_handle(), options_.idle_timeout))
     return false;
   error_code error;
   beast::flat_buffer buffer;
@@ -103,14 +105,14 @@
   const HttpReply reply = hooks_.on_request(request);
   if (reply.drop)
     return false;
-  http::response<http::string_body> answer(
+  http::response<http::string_body> response(
       static_cast<http::status>(reply.status), received.version());
-  answer.set(http::field::content_type, "application/json");
-  answer.keep_alive(received.keep_alive() && !reply.close);
-  answer.body() = reply.body;
-  answer.prepare_payload();
-  http::write(socket, answer, error);
-  return !error && answer.keep_alive();
+  response.set(http::field::content_type, "application/json");
+  response.keep_alive(received.keep_alive() && !reply.close);
+  response.body() = reply.body;
+  response.prepare_payload();
+  http::write(socket, response, error);
+  return !error && response.keep_alive();
 }
 
 }  // namespace goldcrest::testing
--- a/testing/src/seen_requests.cc
+++ b/testing/src/seen_requests.cc
@@ -11,7 +11,8 @@
 
 namespace json = boost::json;
 
-// About 30 MB of statements; a load test goes beyond it, a search test doesn't.
+// Limit for each set: about 30 MB of statements. Load tests exceed it; tests
+// that search the record do not.
 constexpr std::size_t kMaxTexts = 100'000;
 
 json::array ToArray(const std::set<std::string>& texts) {
--- a/testing/src/standin_json.cc
+++ b/testing/src/standin_json.cc
@@ -14,15 +14,16 @@
 namespace json = boost::json;
 
 constexpr std::int64_t kDefaultTimeoutMs = 1000;
-constexpr std::array<std::pair<std::string_view, StatementKind>, 5> kKinds = {{
-    {"read", StatementKind::kRead},
-    {"write", StatementKind::kWrite},
-    {"begin", StatementKind::kBegin},
-    {"commit", StatementKind::kCommit},
-    {"rollback", StatementKind::kRollback},
-}};
-
-std::string_view ToText(StatementStatus status) {
+constexpr std::array<std::pair<std::string_view, StatementKind>, 5>
+    kStatementKinds = {{
+        {"read", StatementKind::kRead},
+        {"write", StatementKind::kWrite},
+        {"begin", StatementKind::kBegin},
+        {"commit", StatementKind::kCommit},
+        {"rollback", StatementKind::kRollback},
+    }};
+
+std::string_view ToString(StatementStatus status) {
   switch (status) {
     case StatementStatus::kDone:
       return "done";
@@ -39,7 +40,7 @@
   return value ? value->if_array() : nullptr;
 }
 
-json::value ToValue(const LogEntry& entry) {
+json::value ToJsonValue(const LogEntry& entry) {
   json::array results;
   for (const RequestResult& result : entry.results)
     results.push_back({{"request_id", result.request_id},
@@ -54,7 +55,7 @@
           {"writes", std::move(writes)}};
 }
 
-LogEntry ToEntry(const json::object& object) {
+LogEntry ToLogEntry(const json::object& object) {
   LogEntry entry;
   entry.position = NumberAt(object, "position");
   entry.term = NumberAt(object, "term");
@@ -94,13 +95,13 @@
 
 std::int64_t NumberAt(const json::object& object,
                       std::string_view key,
-                      std::int64_t missing) {
+                      std::int64_t default_value) {
   const json::value* value = object.if_contains(key);
   boost::system::error_code error;
   if (!value || !value->is_number())
-    return missing;
+    return default_value;
   const auto number = value->to_number<std::int64_t>(error);
-  return error ? missing : number;
+  return error ? default_value : number;
 }
 
 std::int64_t NumberAt(const json::object& object, std::string_view key) {
@@ -109,14 +110,14 @@
 
 std::optional<StatementRequest> ToStatementRequest(const json::object& object) {
   StatementRequest request;
-  bool known = false;
-  for (const auto& [name, kind] : kKinds) {
+  bool kind_found = false;
+  for (const auto& [name, kind] : kStatementKinds) {
     if (name != TextAt(object, "kind"))
       continue;
     request.kind = kind;
-    known = true;
+    kind_found = true;
   }
-  if (!known)
+  if (!kind_found)
     return std::nullopt;
   request.call_id = NumberAt(object, "call_id");
   request.term = NumberAt(object, "term");
@@ -129,47 +130,47 @@
   return request;
 }
 
-std::string ToJson(const StatementAnswer& answer) {
-  return json::serialize(json::value{{"call_id", answer.call_id},
-                                     {"status", ToText(answer.status)},
-                                     {"reason", answer.reason},
-                                     {"term", answer.term},
-                                     {"position", answer.position},
-                                     {"value", answer.value},
-                                     {"transaction", answer.transaction}});
+std::string ToJson(const StatementResponse& response) {
+  return json::serialize(json::value{{"call_id", response.call_id},
+                                     {"status", ToString(response.status)},
+                                     {"reason", response.reason},
+                                     {"term", response.term},
+                                     {"position", response.position},
+                                     {"value", response.value},
+                                     {"transaction", response.transaction}});
 }
 
-std::string ToJson(const Database::PullAnswer& answer, std::int64_t term) {
+std::string ToJson(const Database::PullResponse& response, std::int64_t term) {
   json::array runs;
-  for (const TermRun& run : answer.runs)
-    runs.push_back({{"term", run.term}, {"last", run.last}});
+  for (const TermRange& range : response.term_ranges)
+    runs.push_back({{"term", range.term}, {"last", range.last_position}});
   json::array entries;
-  for (const LogEntry& entry : answer.entries)
-    entries.push_back(ToValue(entry));
+  for (const LogEntry& entry : response.entries)
+    entries.push_back(ToJsonValue(entry));
   return json::serialize(json::value{{"term", term},
                                      {"runs", std::move(runs)},
                                      {"entries", std::move(entries)},
-                                     {"complete", answer.complete}});
+                                     {"complete", response.complete}});
 }
 
-std::optional<Database::PullAnswer> ToPullAnswer(std::string_view body,
-                                                 std::int64_t term) {
+std::optional<Database::PullResponse> ToPullResponse(std::string_view body,
+                                                     std::int64_t term) {
   const auto object = ParseObject(body);
   if (!object || NumberAt(*object, "term") != term)
     return std::nullopt;
-  Database::PullAnswer answer;
+  Database::PullResponse response;
   const json::value* complete = object->if_contains("complete");
-  answer.complete = complete && complete->is_bool() && complete->get_bool();
+  response.complete = complete && complete->is_bool() && complete->get_bool();
   if (const json::array* runs = ArrayAt(*object, "runs")) {
     for (const json::value& run : *runs)
-      answer.runs.push_back({NumberAt(run.as_object(), "term"),
-                             NumberAt(run.as_object(), "last")});
+      response.term_ranges.push_back({NumberAt(run.as_object(), "term"),
+                                      NumberAt(run.as_object(), "last")});
   }
   if (const json::array* entries = ArrayAt(*object, "entries")) {
     for (const json::value& entry : *entries)
-      answer.entries.push_back(ToEntry(entry.as_object()));
+      response.entries.push_back(ToLogEntry(entry.as_object()));
   }
-  return answer;
+  return response;
 }
 
 }  // namespace goldcrest::testing
--- a/testing/src/standin_main.cc
+++ b/testing/src/standin_main.cc
@@ -29,24 +29,28 @@
   --port=PORT                  Port to listen on; 0 lets the system choose.
   --host=HOST                  Address to listen on [default: 127.0.0.1].
   --zone=ZONE                  Availability zone [default: ].
-  --slots=N                    Statements at a time [default: 3].
-  --connections=N              Connections that may carry statements
+  --slots=N                    Maximum concurrent statements and transactions
+                               [default: 3].
+  --connections=N              Maximum connections that carry statements
                                [default: 25].
-  --open-ms=MS                 Time to open a connection [default: 0].
+  --open-ms=MS                 Delay before serving a new connection
+                               [default: 0].
   --lag-ms=MS                  Replication lag [default: 0].
   --statement-ms=MS            Service time of a statement [default: 0].
-  --leave-ms=MS                Time to serve after SIGTERM [default: 3000].
-  --primary                    Do not look for a primary at term 0.
-  --members=MEMBER             A group mate as NAME=HOST:PORT (repeatable).
-  --announce=ADDRESS           An entry to announce to, HOST:PORT (repeatable).
-  --announce-secret-file=FILE  Secret that signs announcements [default: ].
+  --leave-ms=MS                Minimum time to serve after SIGTERM
+                               [default: 3000].
+  --primary                    Do not look for a primary while the term is 0.
+  --members=MEMBER             Another group member, NAME=HOST:PORT (repeatable).
+  --announce=ADDRESS           Entry to announce to, HOST:PORT (repeatable).
+  --announce-secret-file=FILE  File with the secret that signs announcements
+                               [default: ].
   -h --help                    Show this text.
 )";
 
 using Arguments = std::map<std::string, docopt::value>;
 
-std::chrono::milliseconds MillisAt(const Arguments& arguments,
-                                   const std::string& name) {
+std::chrono::milliseconds GetMillis(const Arguments& arguments,
+                                    const std::string& name) {
   return std::chrono::milliseconds(arguments.at(name).asLong());
 }
 
@@ -64,7 +68,7 @@
   std::ifstream file(path);
   std::string secret;
   if (!std::getline(file, secret))
-    throw std::runtime_error("can't read " + path);
+    throw std::runtime_error("can't read the announcement secret from " + path);
   return secret;
 }
 
@@ -78,13 +82,13 @@
   options.slots = static_cast<int>(arguments.at("--slots").asLong());
   options.connections =
       static_cast<int>(arguments.at("--connections").asLong());
-  options.open_time = MillisAt(arguments, "--open-ms");
-  options.lag = MillisAt(arguments, "--lag-ms");
-  options.statement_time = MillisAt(arguments, "--statement-ms");
-  options.leave_time = MillisAt(arguments, "--leave-ms");
-  options.primary_hint = arguments.at("--primary").asBool();
+  options.open_delay = GetMillis(arguments, "--open-ms");
+  options.lag = GetMillis(arguments, "--lag-ms");
+  options.statement_duration = GetMillis(arguments, "--statement-ms");
+  options.min_leave_time = GetMillis(arguments, "--leave-ms");
+  options.skip_primary_discovery = arguments.at("--primary").asBool();
   for (const std::string& entry : arguments.at("--announce").asStringList())
-    options.announce_to.push_back(ParseHostPort(entry));
+    options.announce_addresses.push_back(ParseHostPort(entry));
   for (const std::string& member : arguments.at("--members").asStringList()) {
     const std::size_t equals = member.find('=');
     if (equals == std::string::npos)
@@ -103,7 +107,8 @@
   sigemptyset(&stop_signals);
   sigaddset(&stop_signals, SIGTERM);
   sigaddset(&stop_signals, SIGINT);
-  // Blocked in all threads; sigwait takes them.
+  // Blocked before the server starts its threads, which inherit the mask, so
+  // that only sigwait receives the signals.
   pthread_sigmask(SIG_BLOCK, &stop_signals, nullptr);
   try {
     StandinServer server(
--- a/testing/src/standin_server.cc
+++ b/testing/src/standin_server.cc
@@ -28,29 +28,29 @@
 constexpr milliseconds kPullInterval{10};
 constexpr milliseconds kPullTimeout{500};
 constexpr milliseconds kAnnounceInterval{200};
-// Long enough for an entry to call back, which takes a connection.
+// Long enough for an entry to connect back to the endpoint before it responds.
 constexpr milliseconds kAnnounceTimeout{500};
-constexpr milliseconds kLeaveLimit{10'000};
-constexpr milliseconds kIdleLimit{30'000};
-// Connections above the limit for probes, call-backs and replication. One that
-// carries a statement counts against the limit itself.
+constexpr milliseconds kMaxLeaveTime{10'000};
+constexpr milliseconds kIdleTimeout{30'000};
+// Connections beyond the limit, reserved for probes, callbacks and replication.
+// A connection that carries statements counts against the limit itself.
 constexpr int kReservedConnections = 16;
 
-std::int64_t WallMicros() {
+std::int64_t GetWallClockMicros() {
   return std::chrono::duration_cast<std::chrono::microseconds>(
              std::chrono::system_clock::now().time_since_epoch())
       .count();
 }
 
-HttpReply Error(int status, std::string_view reason) {
+HttpReply ErrorReply(int status, std::string_view reason) {
   return {status, json::serialize(json::value{{"error", reason}})};
 }
 
-std::string Path(const std::string& target) {
+std::string GetPath(const std::string& target) {
   return target.substr(0, target.find('?'));
 }
 
-std::string Parameter(const std::string& target, std::string_view name) {
+std::string GetParameter(const std::string& target, std::string_view name) {
   const auto url = boost::urls::parse_origin_form(target);
   if (!url)
     return "";
@@ -58,15 +58,15 @@
   return it == url->params().end() ? "" : std::string((*it).value);
 }
 
-std::int64_t NumberParameter(const std::string& target, std::string_view name) {
+std::int64_t GetIntParameter(const std::string& target, std::string_view name) {
   try {
-    return std::stoll(Parameter(target, name));
+    return std::stoll(GetParameter(target, name));
   } catch (const std::exception&) {
     return 0;
   }
 }
 
-std::string Hmac(const std::string& secret, const std::string& body) {
+std::string HmacSha256Hex(const std::string& secret, const std::string& body) {
   std::array<unsigned char, EVP_MAX_MD_SIZE> digest{};
   unsigned int size = 0;
   HMAC(EVP_sha256(), secret.data(), static_cast<int>(secret.size()),
@@ -79,22 +79,22 @@
 
 StandinServer::StandinServer(StandinOptions options)
     : options_(std::move(options)),
-      incarnation_(WallMicros()),
-      database_({options_.slots, options_.statement_time}),
+      incarnation_(GetWallClockMicros()),
+      database_({options_.slots, options_.statement_duration}),
       faults_(options_.lag) {
   listener_ = std::make_unique<HttpListener>(
       HttpListener::Options{options_.host, options_.port,
                             options_.connections + kReservedConnections,
-                            options_.open_time, kIdleLimit},
+                            options_.open_delay, kIdleTimeout},
       HttpListener::Hooks{
           [this](std::uint64_t connection) {
-            faults_.OnConnection(connection);
+            faults_.RecordConnection(connection);
           },
-          [this](const HttpRequest& request) { return Handle(request); },
+          [this](const HttpRequest& request) { return HandleRequest(request); },
           [this](std::uint64_t connection) { CloseConnection(connection); }});
   options_.port = listener_->port();
-  replicator_ = std::thread([this] { Replicate(); });
-  announcer_ = std::thread([this] { Announce(); });
+  replicator_ = std::thread([this] { RunReplication(); });
+  announcer_ = std::thread([this] { RunAnnouncements(); });
 }
 
 StandinServer::~StandinServer() {
@@ -108,24 +108,26 @@
   leaving_ = true;
   const auto start = steady_clock::now();
   while (true) {
-    const auto passed = steady_clock::now() - start;
+    const auto elapsed = steady_clock::now() - start;
     const Database::Status status = database_.status();
-    const bool idle = status.running == 0 && status.transactions == 0;
-    if ((passed >= options_.leave_time && idle) || passed >= kLeaveLimit)
+    const bool idle =
+        status.running_statements == 0 && status.open_transactions == 0;
+    if ((elapsed >= options_.min_leave_time && idle) ||
+        elapsed >= kMaxLeaveTime)
       return;
     std::this_thread::sleep_for(kPullInterval);
   }
 }
 
-HttpReply StandinServer::Handle(const HttpRequest& request) {
+HttpReply StandinServer::HandleRequest(const HttpRequest& request) {
   faults_.WaitWhileFrozen();
-  faults_.WaitIfSilent(request.connection);
+  faults_.WaitWhileSilenced(request.connection);
   if (faults_.stopped())
     return {.drop = true};
-  Record(request);
-  const std::string path = Path(request.target);
+  RecordRequest(request);
+  const std::string path = GetPath(request.target);
   const std::string route = request.method + " " + path;
-  HttpReply reply = Error(404, "unknown_path");
+  HttpReply reply = ErrorReply(404, "unknown_path");
   if (route == "POST /v1/statement")
     reply = HandleStatement(request);
   else if (route == "GET /v1/status")
@@ -139,39 +141,39 @@
   else if (route == "GET /v1/log")
     reply = HandleLog(request);
   else if (route == "POST /v1/test/fault")
-    return HandleFault(request);  // at once, though it may order a freeze
+    return HandleFault(request);  // not delayed by the freeze that it may set
   else if (route == "GET /v1/test/seen_headers")
-    reply = {200, seen_.ToJson()};
+    reply = {200, seen_requests_.ToJson()};
   faults_.WaitWhileFrozen();
-  faults_.WaitIfSilent(request.connection);
+  faults_.WaitWhileSilenced(request.connection);
   return reply;
 }
 
 HttpReply StandinServer::HandleStatement(const HttpRequest& request) {
   const auto object = ParseObject(request.body);
   if (!object)
-    return Error(400, "not_json");
+    return ErrorReply(400, "not_json");
   const auto statement = ToStatementRequest(*object);
   if (!statement)
-    return Error(400, "unknown_kind");
+    return ErrorReply(400, "unknown_kind");
   if (!AdmitConnection(request.connection)) {
-    StatementAnswer refusal;
+    StatementResponse refusal;
     refusal.call_id = statement->call_id;
     refusal.reason = "too_many_connections";
     return {.body = ToJson(refusal), .close = true};
   }
-  const std::string answer =
+  const std::string response =
       ToJson(database_.Execute(*statement, request.connection));
-  faults_.WaitAnswerDelay();
-  if (faults_.TakeDrop())
+  faults_.WaitResponseDelay();
+  if (faults_.ConsumeResponseDrop())
     return {.drop = true};
-  return {200, faults_.TakeCrossed(answer)};
+  return {200, faults_.SubstituteResponse(response)};
 }
 
 HttpReply StandinServer::HandlePromote(const HttpRequest& request) {
   const auto object = ParseObject(request.body);
   if (!object)
-    return Error(400, "not_json");
+    return ErrorReply(400, "not_json");
   const bool promoted = database_.Promote(NumberAt(*object, "term"));
   return {promoted ? 200 : 409, StatusJson()};
 }
@@ -179,7 +181,7 @@
 HttpReply StandinServer::HandleFollow(const HttpRequest& request) {
   const auto object = ParseObject(request.body);
   if (!object)
-    return Error(400, "not_json");
+    return ErrorReply(400, "not_json");
   const std::string primary = TextAt(*object, "primary");
   HostPort address{TextAt(*object, "host"),
                    static_cast<std::uint16_t>(NumberAt(*object, "port"))};
@@ -187,62 +189,63 @@
   if (address.port == 0 && member != options_.members.end())
     address = member->second;
   if (address.port == 0 || primary == options_.endpoint)
-    return Error(400, "no_address_of_primary");
-  const bool follows =
+    return ErrorReply(400, "no_address_of_primary");
+  const bool accepted =
       database_.Follow({NumberAt(*object, "term"), address.host, address.port});
-  return {follows ? 200 : 409, StatusJson()};
+  return {accepted ? 200 : 409, StatusJson()};
 }
 
 HttpReply StandinServer::HandleOutcome(const HttpRequest& request) {
-  std::optional<Store::Known> known;
+  std::optional<Store::StoredResult> stored;
   if (request.method == "POST") {
     const auto object = ParseObject(request.body);
     if (!object)
-      return Error(400, "not_json");
-    const Database::Outcome outcome = database_.Fence(
+      return ErrorReply(400, "not_json");
+    const Database::FenceResult result = database_.FindOrFenceRequest(
         NumberAt(*object, "term"), TextAt(*object, "request_id"));
-    if (outcome.refused)
-      return Error(409, "not_primary_of_term");
-    known = outcome.known;
+    if (result.refused)
+      return ErrorReply(409, "not_primary_of_term");
+    stored = result.stored;
   } else {
-    known = database_.FindRequest(Parameter(request.target, "request_id"));
+    stored =
+        database_.FindRequestResult(GetParameter(request.target, "request_id"));
   }
   return {200, json::serialize(
-                   json::value{{"known", known.has_value()},
-                               {"value", known ? known->value : ""},
-                               {"position", known ? known->position : 0}})};
+                   json::value{{"known", stored.has_value()},
+                               {"value", stored ? stored->value : ""},
+                               {"position", stored ? stored->position : 0}})};
 }
 
 HttpReply StandinServer::HandleLog(const HttpRequest& request) const {
   if (faults_.replication_cut())
-    return Error(503, "replication_cut");
-  const std::int64_t term = NumberParameter(request.target, "term");
-  const auto answer = database_.ReadLog(
-      term, NumberParameter(request.target, "from"),
-      milliseconds(NumberParameter(request.target, "lag_ms")));
-  if (!answer)
-    return Error(409, "not_primary_of_term");
-  return {200, ToJson(*answer, term)};
+    return ErrorReply(503, "replication_cut");
+  const std::int64_t term = GetIntParameter(request.target, "term");
+  const auto response = database_.ReadLog(
+      term, GetIntParameter(request.target, "from"),
+      milliseconds(GetIntParameter(request.target, "lag_ms")));
+  if (!response)
+    return ErrorReply(409, "not_primary_of_term");
+  return {200, ToJson(*response, term)};
 }
 
 HttpReply StandinServer::HandleFault(const HttpRequest& request) {
   const auto object = ParseObject(request.body);
   if (!object ||
       !faults_.Set(TextAt(*object, "kind"), NumberAt(*object, "value")))
-    return Error(400, "unknown_fault");
+    return ErrorReply(400, "unknown_fault");
   return {200, "{}"};
 }
 
-void StandinServer::Record(const HttpRequest& request) {
-  seen_.AddTarget(request.method + " " + request.target);
+void StandinServer::RecordRequest(const HttpRequest& request) {
+  seen_requests_.AddTarget(request.method + " " + request.target);
   for (const auto& [name, value] : request.headers)
-    seen_.AddHeader(fmt::format("{}: {}", name, value));
+    seen_requests_.AddHeader(fmt::format("{}: {}", name, value));
   if (!request.body.empty())
-    seen_.AddBody(request.body);
+    seen_requests_.AddBody(request.body);
 }
 
 bool StandinServer::AdmitConnection(std::uint64_t connection) {
-  const std::unique_lock lock(mutex_);
+  const std::unique_lock lock(connections_mutex_);
   if (statement_connections_.contains(connection))
     return true;
   if (statement_connections_.size() >=
@@ -256,13 +259,13 @@
 
 void StandinServer::CloseConnection(std::uint64_t connection) {
   database_.CloseConnection(connection);
-  const std::unique_lock lock(mutex_);
+  const std::unique_lock lock(connections_mutex_);
   statement_connections_.erase(connection);
 }
 
 std::string StandinServer::StatusJson() const {
   const Database::Status status = database_.status();
-  const std::unique_lock lock(mutex_);
+  const std::unique_lock lock(connections_mutex_);
   return json::serialize(
       json::value{{"endpoint", options_.endpoint},
                   {"group", options_.group},
@@ -274,51 +277,52 @@
                   {"log_position", status.log_position},
                   {"age_ms", status.age.count()},
                   {"leaving", leaving_.load()},
-                  {"running", status.running},
-                  {"transactions", status.transactions},
+                  {"running", status.running_statements},
+                  {"transactions", status.open_transactions},
                   {"connections", statement_connections_.size()},
                   {"peak_connections", peak_statement_connections_}});
 }
 
-void StandinServer::Replicate() {
+void StandinServer::RunReplication() {
   while (!faults_.stopped()) {
     faults_.WaitWhileFrozen();
     const auto source = database_.source();
     if (faults_.replication_cut()) {
-      // Nothing is pulled.
+      // The fault suppresses pulls.
     } else if (source) {
-      Pull(*source);
-    } else if (database_.status().term == 0 && !options_.primary_hint) {
-      LookForPrimary();
+      PullLog(*source);
+    } else if (database_.status().term == 0 &&
+               !options_.skip_primary_discovery) {
+      DiscoverPrimary();
     }
     std::this_thread::sleep_for(kPullInterval);
   }
 }
 
-void StandinServer::Pull(const Database::Source& source) {
-  const auto sent = steady_clock::now();
+void StandinServer::PullLog(const Database::Source& source) {
+  const auto sent_at = steady_clock::now();
   const milliseconds lag = faults_.lag();
   HttpCall call;
   call.target = fmt::format("/v1/log?from={}&term={}&lag_ms={}",
                             database_.NextPosition(), source.term, lag.count());
-  const auto answer =
+  const auto response =
       ClientFor({source.host, source.port}).Call(call, kPullTimeout);
-  if (!answer || answer->status != 200 || faults_.replication_cut())
+  if (!response || response->status != 200 || faults_.replication_cut())
     return;
-  auto pulled = ToPullAnswer(answer->body, source.term);
+  auto pulled = ToPullResponse(response->body, source.term);
   if (!pulled)
     return;
-  database_.ApplyPull(source, std::move(*pulled), sent, lag);
+  database_.ApplyPullResponse(source, std::move(*pulled), sent_at, lag);
 }
 
-void StandinServer::LookForPrimary() {
+void StandinServer::DiscoverPrimary() {
   for (const auto& [name, address] : options_.members) {
     HttpCall call;
     call.target = "/v1/status";
-    const auto answer = ClientFor(address).Call(call, kPullTimeout);
-    if (!answer || answer->status != 200)
+    const auto response = ClientFor(address).Call(call, kPullTimeout);
+    if (!response || response->status != 200)
       continue;
-    const auto status = ParseObject(answer->body);
+    const auto status = ParseObject(response->body);
     if (!status || TextAt(*status, "role") != "primary")
       continue;
     database_.Follow({NumberAt(*status, "term"), address.host, address.port});
@@ -332,42 +336,44 @@
   return *client;
 }
 
-void StandinServer::Announce() {
-  const auto& entries = options_.announce_to;
+void StandinServer::RunAnnouncements() {
+  const auto& addresses = options_.announce_addresses;
   std::size_t next = 0;
-  while (!faults_.stopped() && !entries.empty()) {
+  while (!faults_.stopped() && !addresses.empty()) {
     faults_.WaitWhileFrozen();
-    ++sequence_;
-    HttpCall call{"POST", "/v1/announce", AnnouncementBody(), {}};
+    ++announcement_sequence_;
+    HttpCall call{"POST", "/v1/announce", BuildAnnouncementBody(), {}};
     call.headers["Goldcrest-Signature"] =
-        Hmac(options_.announce_secret, call.body);
-    // Stays with an entry for as long as it answers.
-    for (std::size_t tried = 0; tried < entries.size(); ++tried) {
-      HttpClient client(entries[next].host, entries[next].port);
-      const auto answer = client.Call(call, kAnnounceTimeout);
-      if (answer && answer->status == 200)
+        HmacSha256Hex(options_.announce_secret, call.body);
+    // Uses the same entry as long as it accepts the announcements, else tries
+    // the next one.
+    for (std::size_t attempt = 0; attempt < addresses.size(); ++attempt) {
+      HttpClient client(addresses[next].host, addresses[next].port);
+      const auto response = client.Call(call, kAnnounceTimeout);
+      if (response && response->status == 200)
         break;
-      next = (next + 1) % entries.size();
+      next = (next + 1) % addresses.size();
     }
     std::this_thread::sleep_for(kAnnounceInterval);
   }
 }
 
-std::string StandinServer::AnnouncementBody() const {
+std::string StandinServer::BuildAnnouncementBody() const {
   const Database::Status status = database_.status();
-  return json::serialize(json::value{{"info",
-                                      {{"endpoint", options_.endpoint},
-                                       {"group", options_.group},
-                                       {"zone", options_.zone},
-                                       {"host", options_.host},
-                                       {"port", options_.port},
-                                       {"slots", options_.slots},
-                                       {"connections", options_.connections},
-                                       {"incarnation", incarnation_},
-                                       {"leaving", leaving_.load()}}},
-                                     {"sequence", sequence_.load()},
-                                     {"term", status.term},
-                                     {"position", status.position}});
+  return json::serialize(
+      json::value{{"info",
+                   {{"endpoint", options_.endpoint},
+                    {"group", options_.group},
+                    {"zone", options_.zone},
+                    {"host", options_.host},
+                    {"port", options_.port},
+                    {"slots", options_.slots},
+                    {"connections", options_.connections},
+                    {"incarnation", incarnation_},
+                    {"leaving", leaving_.load()}}},
+                  {"sequence", announcement_sequence_.load()},
+                  {"term", status.term},
+                  {"position", status.position}});
 }
 
 }  // namespace goldcrest::testing
--- a/testing/tests/standin_server_test.cc
+++ b/testing/tests/standin_server_test.cc
@@ -17,10 +17,10 @@
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 
-constexpr milliseconds kBound{5000};
+constexpr milliseconds kTimeout{5000};
 
-bool Eventually(const std::function<bool()>& condition) {
-  const auto deadline = steady_clock::now() + kBound;
+bool WaitUntil(const std::function<bool()>& condition) {
+  const auto deadline = steady_clock::now() + kTimeout;
   while (!condition()) {
     if (steady_clock::now() > deadline)
       return false;
@@ -36,18 +36,16 @@
   return std::make_unique<StandinServer>(options);
 }
 
-//! One connection to a server.
-class Caller {
+//! Client with one connection to a server.
+class TestClient {
  public:
-  explicit Caller(const StandinServer& server)
+  explicit TestClient(const StandinServer& server)
       : client_("127.0.0.1", server.port()) {}
 
   json::object Post(const std::string& target, const json::value& body) {
-    return Answer({"POST", target, json::serialize(body), {}});
-  }
-  json::object Get(const std::string& target) {
-    return Answer({"GET", target});
+    return Send({"POST", target, json::serialize(body), {}});
   }
+  json::object Get(const std::string& target) { return Send({"GET", target}); }
 
   json::object Execute(std::int64_t term,
                        const std::string& kind,
@@ -77,42 +75,43 @@
                         {"host", "127.0.0.1"},
                         {"port", primary.port()}});
   }
-  std::int64_t Position() { return NumberAt(Get("/v1/status"), "position"); }
+  std::int64_t GetPosition() { return NumberAt(Get("/v1/status"), "position"); }
   void SetFault(const std::string& kind, std::int64_t value) {
     Post("/v1/test/fault", {{"kind", kind}, {"value", value}});
   }
   void Close() { client_.Close(); }
 
  private:
-  json::object Answer(const settings::HttpCall& call) {
-    const auto answer = client_.Call(call, kBound);
-    return answer ? ParseObject(answer->body).value() : json::object();
+  json::object Send(const settings::HttpCall& call) {
+    const auto response = client_.Call(call, kTimeout);
+    return response ? ParseObject(response->body).value() : json::object();
   }
 
   settings::HttpClient client_;
   std::int64_t call_id_ = 0;
 };
 
-void CheckRefused(const json::object& answer, const std::string& reason) {
-  CHECK(TextAt(answer, "status") == "not_run");
-  CHECK(TextAt(answer, "reason") == reason);
+void CheckRefused(const json::object& response, const std::string& reason) {
+  CHECK(TextAt(response, "status") == "not_run");
+  CHECK(TextAt(response, "reason") == reason);
 }
 
 }  // namespace
 
-// Fails when a request id is kept outside the replicated log.
+// Guards against storing results by request id outside the replicated log,
+// where a new primary would run a resent write again.
 TEST_CASE("A write resent after a promotion gets its first result",
           "[testing]") {
   const auto old_primary = StartServer("db-1");
   const auto new_primary = StartServer("db-2");
-  Caller first(*old_primary);
-  Caller second(*new_primary);
+  TestClient first(*old_primary);
+  TestClient second(*new_primary);
   REQUIRE(first.Promote(1));
   second.Follow(1, *old_primary);
   const auto written = first.Execute(1, "write", "incr pumps", "r-1");
   REQUIRE(TextAt(written, "value") == "1");
-  REQUIRE(Eventually(
-      [&] { return second.Position() == NumberAt(written, "position"); }));
+  REQUIRE(WaitUntil(
+      [&] { return second.GetPosition() == NumberAt(written, "position"); }));
   REQUIRE(second.Promote(2));
   const auto resent = second.Execute(2, "write", "incr pumps", "r-1");
   CHECK(TextAt(resent, "status") == "done");
@@ -124,26 +123,27 @@
         R"({"known":true,"value":"1","position":2})");
 }
 
-// Fails when a replaced primary goes on to accept the old term's statements.
+// Guards against a replaced primary that still runs statements of its old term.
 TEST_CASE("A statement of a lower term or at a replica does not run",
           "[testing]") {
   const auto server = StartServer("db-1");
   const auto other = StartServer("db-2");
-  Caller caller(*server);
-  REQUIRE(caller.Promote(2));
-  CheckRefused(caller.Execute(1, "write", "set k v"), "stale_term");
-  CheckRefused(caller.Execute(3, "write", "set k v"), "unknown_term");
-  caller.Follow(3, *other);
-  CheckRefused(caller.Execute(2, "write", "set k v"), "stale_term");
-  CheckRefused(caller.Execute(3, "write", "set k v"), "not_primary");
-  CHECK_FALSE(caller.Promote(3));
+  TestClient client(*server);
+  REQUIRE(client.Promote(2));
+  CheckRefused(client.Execute(1, "write", "set k v"), "stale_term");
+  CheckRefused(client.Execute(3, "write", "set k v"), "unknown_term");
+  client.Follow(3, *other);
+  CheckRefused(client.Execute(2, "write", "set k v"), "stale_term");
+  CheckRefused(client.Execute(3, "write", "set k v"), "not_primary");
+  CHECK_FALSE(client.Promote(3));
 }
 
-// Fails when an abandoned transaction keeps its slot, its keys or its writes.
+// Guards against a transaction that keeps its slot, its key locks or its writes
+// after its connection has closed.
 TEST_CASE("A closed connection rolls its transaction back", "[testing]") {
   const auto server = StartServer("db-1");
-  Caller owner(*server);
-  Caller other(*server);
+  TestClient owner(*server);
+  TestClient other(*server);
   REQUIRE(owner.Promote(1));
   const auto begun = owner.Execute(1, "begin", "");
   const std::string transaction = TextAt(begun, "transaction");
@@ -152,7 +152,7 @@
   CheckRefused(other.Execute(1, "commit", "", "", transaction),
                "unknown_transaction");
   owner.Close();
-  REQUIRE(Eventually(
+  REQUIRE(WaitUntil(
       [&] { return NumberAt(other.Get("/v1/status"), "transactions") == 0; }));
   CheckRefused(owner.Execute(1, "commit", "", "", transaction),
                "unknown_transaction");
@@ -160,45 +160,46 @@
   CHECK(TextAt(written, "value") == "free");
 }
 
-// Fails when a replica counts entries that its primary never had.
+// Guards against a replica that reports or serves entries which the new primary
+// does not have.
 TEST_CASE("A member that follows a new primary drops its divergent tail",
           "[testing]") {
   const auto old_primary = StartServer("db-1");
   const auto new_primary = StartServer("db-2");
-  Caller first(*old_primary);
-  Caller second(*new_primary);
+  TestClient first(*old_primary);
+  TestClient second(*new_primary);
   REQUIRE(first.Promote(1));
   second.Follow(1, *old_primary);
   first.Execute(1, "write", "set shared yes");
-  REQUIRE(Eventually([&] { return second.Position() == 2; }));
+  REQUIRE(WaitUntil([&] { return second.GetPosition() == 2; }));
   second.SetFault("cut_replication", 1);
   for (int i = 0; i < 5; ++i)
     first.Execute(1, "write", "set lost yes", "lost");
   first.Execute(1, "write", "set lost again");
   REQUIRE(second.Promote(2));
   first.Follow(2, *new_primary);
-  // The tail is not yet compared: it counts as nothing held.
-  CHECK(first.Position() == 0);
+  // The log is not yet compared with the new primary's, so position is 0.
+  CHECK(first.GetPosition() == 0);
   CheckRefused(first.Execute(2, "read", "get lost"), "not_synced");
   second.SetFault("cut_replication", 0);
   second.Execute(2, "write", "set kept yes");
-  REQUIRE(Eventually([&] { return first.Position() == 4; }));
+  REQUIRE(WaitUntil([&] { return first.GetPosition() == 4; }));
   CHECK(first.Read(2, "lost").empty());
   CHECK(first.Read(2, "shared") == "yes");
   CHECK(first.Read(2, "kept") == "yes");
   CHECK(TextAt(first.Get("/v1/outcome?request_id=lost"), "value").empty());
 }
 
-// Fails when a test of the proxy relies on a limit or a fault that is not
-// there.
+// Guards against limits and faults without effect, on which tests of the proxy
+// rely.
 TEST_CASE("Limits and faults are seen by the caller", "[testing]") {
   StandinOptions options;
   options.slots = 1;
   options.connections = 2;
   const StandinServer server(options);
-  Caller owner(server);
-  Caller other(server);
-  Caller third(server);
+  TestClient owner(server);
+  TestClient other(server);
+  TestClient third(server);
   REQUIRE(owner.Promote(1));
   owner.Execute(1, "begin", "");
   CheckRefused(other.Execute(1, "read", "get k", "", "", 1), "no_slot");
