--- a/cmake/GoldcrestPackage.cmake
+++ b/cmake/GoldcrestPackage.cmake
@@ -13,8 +13,8 @@
   set(CMAKE_CXX_COMPILER_LAUNCHER ${CCACHE_PROGRAM})
 endif()
 
-# A deployed daemon starts on a fraction of a core: each shared library that
-# need not be loaded shortens a restart.
+# A deployed daemon starts on a fraction of a core, so every shared library that
+# it doesn't load makes a restart faster.
 set(GOLDCREST_THRIFT thrift)
 set(GOLDCREST_DOCOPT docopt)
 if(GOLDCREST_DEPLOY)
@@ -39,8 +39,8 @@
 target_compile_options(goldcrest_warnings INTERFACE -Wall -Wextra -Werror
                                                     -Wno-missing-field-initializers)
 if(GOLDCREST_DEPLOY)
-  # GCC 12 at -O3 reports -Wrestrict for assignments of string literals (its
-  # bug 105329).
+  # GCC 12 at -O3 reports -Wrestrict for assignments of string literals
+  # (GCC bug 105329).
   target_compile_options(goldcrest_warnings INTERFACE -Wno-restrict)
 endif()
 
@@ -73,6 +73,9 @@
 endfunction()
 
 # goldcrest_test(NAME SOURCES ... DEPENDS ...)
+#
+# Declares the Catch2 program goldcrest_NAME_tests and the CTest tests NAME and
+# NAME.guarantee. NAME.guarantee leaves out cases tagged [known-red].
 function(goldcrest_test NAME)
   if(GOLDCREST_DEPLOY)
     return()
