--- a/process_tests/internal/caller.h
+++ b/process_tests/internal/caller.h
@@ -13,21 +13,24 @@
 
 namespace goldcrest::process_tests {
 
-//! What came back from a daemon.
+//! Reply of a daemon to an HTTP request.
 struct Reply {
-  bool sent = false;  //!< The daemon may have got the request.
-  int status = 0;     //!< HTTP status; 0 without a whole answer.
-  int code = -1;      //!< Result code; -1 without a whole answer.
+  bool sent = false;  //!< Whether the daemon may have received the request.
+  int status = 0;     //!< HTTP status; 0 without a complete response.
+  int code = -1;      //!< Result code; -1 without a complete response.
   std::string outcome;
   boost::json::object body;
   std::map<std::string, std::string> headers;
 
+  //! String member of the body; empty if there is none.
   std::string Text(std::string_view member) const;
   std::optional<std::int64_t> Number(std::string_view member) const;
-  bool Done() const { return code == 0; }
+  //! Whether the result code is 0.
+  bool Succeeded() const { return code == 0; }
 };
 
-//! A caller with one session and one keep-alive connection to each port.
+//! Client of the caller ports, with one session and one keep-alive connection
+//! per port.
 class Caller {
  public:
   explicit Caller(std::string key) : key_(std::move(key)) {}
@@ -36,8 +39,8 @@
              const std::string& path,
              const boost::json::object& body);
 
-  //! Statements on the group "bookings". A write gets a request id of its own
-  //! unless one is given.
+  //! The following functions send statements to the group "bookings". A write
+  //! outside a transaction gets a new request id if `request_id` is empty.
   Reply Write(std::uint16_t port,
               const std::string& statement,
               const std::string& request_id = "",
@@ -56,11 +59,12 @@
 
   std::string key_;
   std::string session_;
-  std::uint64_t requests_ = 0;
+  std::uint64_t last_request_number_ = 0;
   std::map<std::uint16_t, std::unique_ptr<settings::HttpClient>> clients_;
 };
 
-Reply ToReply(const std::optional<settings::HttpAnswer>& answer, bool sent);
+//! Reads the body of `answer` as JSON; `sent` is copied to the reply.
+Reply ParseReply(const std::optional<settings::HttpAnswer>& answer, bool sent);
 
 }  // namespace goldcrest::process_tests
 
--- a/process_tests/internal/child_process.h
+++ b/process_tests/internal/child_process.h
@@ -11,8 +11,8 @@
 
 namespace goldcrest::process_tests {
 
-//! A child of the test. It is killed and reaped by the destructor, and by the
-//! kernel when the thread that started it ends.
+//! A child process of the test. The destructor kills and reaps it; the kernel
+//! kills it when the thread that started it ends.
 class ChildProcess {
  public:
   //! Appends standard output and standard error to `log`. Throws
@@ -23,15 +23,17 @@
   ChildProcess(const ChildProcess&) = delete;
   ChildProcess& operator=(const ChildProcess&) = delete;
 
+  //! Does nothing once the process has been reaped.
   void Signal(int signal) const;
 
   //! Sends SIGKILL and reaps the process.
   void Kill();
 
-  //! Exit status, or 128 + signal; nullopt if it still runs after `timeout`.
+  //! Exit status, or 128 + signal; nullopt if the process still runs after
+  //! `timeout`.
   std::optional<int> WaitForExit(std::chrono::milliseconds timeout);
 
-  bool Running();
+  bool IsRunning();
 
  private:
   void Reap(int flags);
@@ -41,7 +43,7 @@
 };
 
 //! Whether this process has a child that has not been reaped.
-bool HasChildren();
+bool HasUnreapedChildren();
 
 }  // namespace goldcrest::process_tests
 
--- a/process_tests/internal/increment_load.h
+++ b/process_tests/internal/increment_load.h
@@ -12,27 +12,27 @@
 
 namespace goldcrest::process_tests {
 
-//! What one client saw.
+//! Results of one client.
 struct LoadReport {
   std::int64_t acknowledged = 0;
   std::chrono::milliseconds longest_gap{0};  //!< Between two acknowledgements.
-  //! Requests that were sent and whose connection ended without a whole answer.
+  //! Requests that were sent but got no complete response.
   int cut = 0;
-  int unknown = 0;  //!< Answers with the outcome "unknown".
-  //! Acknowledgements whose value is not that of the request.
-  std::vector<std::string> wrong;
-  std::map<int, int> codes;  //!< Answers by result code.
+  int unknown = 0;  //!< Replies with the outcome "unknown".
+  //! Acknowledgements whose counter value is not the expected one, as text.
+  std::vector<std::string> wrong_values;
+  std::map<int, int> codes;  //!< Number of replies by result code; -1 without
+                             //!< a complete response.
 
   std::string ToText() const;
 };
 
-//! A client thread that increments its own counter, one request at a time. A
-//! request that is not done is sent again with its request id, to the next
-//! port. The value of each acknowledgement tells a lost write from a repeated
-//! one.
+//! Client thread that increments its own counter, one request at a time. A
+//! request that fails is sent again with the same request id to the next port.
+//! The counter value in each acknowledgement shows lost and repeated writes.
 class IncrementLoad {
  public:
-  // The daemons' own default.
+  // Same as the default of the daemons.
   static constexpr std::chrono::milliseconds kDefaultTimeout{5'000};
 
   IncrementLoad(std::string counter,
@@ -45,10 +45,13 @@
   std::int64_t acknowledged() const { return acknowledged_; }
   const std::string& counter() const { return counter_; }
 
-  //! Waits for `more` further acknowledgements.
-  bool Continues(std::int64_t more, std::chrono::milliseconds bound) const;
+  //! Waits for `count` further acknowledgements; false if they take longer than
+  //! `timeout`.
+  bool AwaitProgress(std::int64_t count,
+                     std::chrono::milliseconds timeout) const;
 
-  //! Ends after the request that is under way, which gets kLastRequest time.
+  //! Ends the thread after its current request, which is retried for at most
+  //! another 10 s.
   LoadReport Stop();
 
  private:
--- a/process_tests/internal/raw_connection.h
+++ b/process_tests/internal/raw_connection.h
@@ -8,7 +8,7 @@
 
 namespace goldcrest::process_tests {
 
-//! A TCP connection to a loopback port, for bytes that no HTTP client sends.
+//! TCP connection to a loopback port, for input that an HTTP client can't send.
 class RawConnection {
  public:
   //! Throws std::system_error when the connection fails.
@@ -17,10 +17,11 @@
   RawConnection(const RawConnection&) = delete;
   RawConnection& operator=(const RawConnection&) = delete;
 
+  //! Returns early when the server has closed the connection.
   void Send(std::string_view bytes) const;
 
-  //! What the server sends until it closes the connection, `timeout` passes or
-  //! `expected` is in it.
+  //! Receives until `expected` arrives, the server closes the connection or
+  //! `timeout` passes. Returns all received bytes.
   std::string ReceiveUntil(std::string_view expected,
                            std::chrono::milliseconds timeout) const;
 
--- a/process_tests/internal/reserved_port.h
+++ b/process_tests/internal/reserved_port.h
@@ -5,12 +5,12 @@
 
 namespace goldcrest::process_tests {
 
-//! A free loopback port. It stays bound here without a listener, so that no
-//! outgoing connection takes it while the process that serves it is down; that
-//! process can bind it too, because both set SO_REUSEADDR.
+//! Reserves a free loopback port. The port stays bound without a listener, so
+//! that no outgoing connection gets it while the daemon that uses it is down.
+//! The daemon can still bind it, because both sockets set SO_REUSEADDR.
 class ReservedPort {
  public:
-  //! Throws std::system_error.
+  //! Throws std::system_error when no port can be bound.
   ReservedPort();
   ~ReservedPort();
   ReservedPort(const ReservedPort&) = delete;
--- a/process_tests/internal/temporary_folder.h
+++ b/process_tests/internal/temporary_folder.h
@@ -6,9 +6,10 @@
 
 namespace goldcrest::process_tests {
 
-//! A new folder, removed with its contents by the destructor.
+//! Creates a folder and removes it with its contents in the destructor.
 class TemporaryFolder {
  public:
+  //! Throws std::system_error.
   TemporaryFolder();
   ~TemporaryFolder();
   TemporaryFolder(const TemporaryFolder&) = delete;
@@ -16,9 +17,10 @@
 
   const std::filesystem::path& path() const { return path_; }
 
+  //! Replaces the file if it exists.
   void Write(const std::string& name, const std::string& text) const;
 
-  //! Empty if there is no such file.
+  //! Contents of the file; empty if it doesn't exist.
   std::string Read(const std::string& name) const;
 
  private:
--- a/process_tests/internal/wait.h
+++ b/process_tests/internal/wait.h
@@ -6,14 +6,15 @@
 
 namespace goldcrest::process_tests {
 
-//! Polls `condition` until it holds; false if it doesn't within `bound`.
-bool Eventually(std::chrono::milliseconds bound,
-                const std::function<bool()>& condition);
+//! Polls `condition` until it is true; false if `timeout` passes first.
+bool WaitUntil(std::chrono::milliseconds timeout,
+               const std::function<bool()>& condition);
 
-//! Eventually() that throws std::runtime_error with `what`.
-void Await(const char* what,
-           std::chrono::milliseconds bound,
-           const std::function<bool()>& condition);
+//! Like WaitUntil(), but throws std::runtime_error on a timeout. `what` names
+//! the awaited event in its message.
+void WaitUntilOrThrow(const char* what,
+                      std::chrono::milliseconds timeout,
+                      const std::function<bool()>& condition);
 
 }  // namespace goldcrest::process_tests
 
--- a/process_tests/src/caller.cc
+++ b/process_tests/src/caller.cc
@@ -11,18 +11,18 @@
 
 namespace json = boost::json;
 
-// Longer than any bound that a test checks.
+// Longer than any time limit that a test checks.
 constexpr std::chrono::milliseconds kAnswerTimeout{10'000};
 
-std::string TextIn(const json::object& object, std::string_view member) {
+std::string StringMember(const json::object& object, std::string_view member) {
   const json::value* value = object.if_contains(member);
   return value != nullptr && value->is_string()
              ? std::string(value->get_string())
              : std::string();
 }
 
-std::optional<std::int64_t> NumberIn(const json::object& object,
-                                     std::string_view member) {
+std::optional<std::int64_t> IntegerMember(const json::object& object,
+                                          std::string_view member) {
   const json::value* value = object.if_contains(member);
   if (value == nullptr || !value->is_number())
     return std::nullopt;
@@ -32,14 +32,14 @@
 }  // namespace
 
 std::string Reply::Text(std::string_view member) const {
-  return TextIn(body, member);
+  return StringMember(body, member);
 }
 
 std::optional<std::int64_t> Reply::Number(std::string_view member) const {
-  return NumberIn(body, member);
+  return IntegerMember(body, member);
 }
 
-Reply ToReply(const std::optional<settings::HttpAnswer>& answer, bool sent) {
+Reply ParseReply(const std::optional<settings::HttpAnswer>& answer, bool sent) {
   Reply reply;
   reply.sent = sent;
   if (!answer)
@@ -54,8 +54,8 @@
   const json::value* result = reply.body.if_contains("result");
   if (result != nullptr && result->is_object()) {
     reply.code = static_cast<int>(
-        NumberIn(result->get_object(), "code").value_or(reply.code));
-    reply.outcome = TextIn(result->get_object(), "outcome");
+        IntegerMember(result->get_object(), "code").value_or(reply.code));
+    reply.outcome = StringMember(result->get_object(), "outcome");
   }
   return reply;
 }
@@ -71,7 +71,7 @@
   if (!session_.empty())
     call.headers["Goldcrest-Session"] = session_;
   const auto answer = client->Call(call, kAnswerTimeout);
-  Reply reply = ToReply(answer, client->last_call_sent());
+  Reply reply = ParseReply(answer, client->last_call_sent());
   const auto token = reply.headers.find("goldcrest-session");
   if (token != reply.headers.end())
     session_ = token->second;
@@ -118,10 +118,10 @@
 }
 
 std::string Caller::NextRequestId() {
-  static std::atomic<std::uint64_t> callers{0};
-  if (requests_ == 0)
-    requests_ = ++callers << 32U;
-  return fmt::format("r-{}", ++requests_);
+  static std::atomic<std::uint64_t> caller_count{0};
+  if (last_request_number_ == 0)
+    last_request_number_ = ++caller_count << 32U;
+  return fmt::format("r-{}", ++last_request_number_);
 }
 
 }  // namespace goldcrest::process_tests
--- a/process_tests/src/child_process.cc
+++ b/process_tests/src/child_process.cc
@@ -14,21 +14,24 @@
 namespace goldcrest::process_tests {
 namespace {
 
-constexpr int kSignalStatus = 128;
+// Shells report the exit status of a process that a signal ended the same way.
+constexpr int kSignalStatusBase = 128;
 
-int ToStatus(int raw) {
-  return WIFEXITED(raw) ? WEXITSTATUS(raw) : kSignalStatus + WTERMSIG(raw);
+int ToExitStatus(int wait_status) {
+  return WIFEXITED(wait_status) ? WEXITSTATUS(wait_status)
+                                : kSignalStatusBase + WTERMSIG(wait_status);
 }
 
 }  // namespace
 
 ChildProcess::ChildProcess(const std::vector<std::string>& command,
                            const std::filesystem::path& log) {
-  std::vector<std::string> all = {GOLDCREST_LAUNCHER, std::to_string(getpid())};
-  all.insert(all.end(), command.begin(), command.end());
+  std::vector<std::string> full_command = {GOLDCREST_LAUNCHER,
+                                           std::to_string(getpid())};
+  full_command.insert(full_command.end(), command.begin(), command.end());
   std::vector<char*> arguments;
-  arguments.reserve(all.size() + 1);
-  for (std::string& argument : all)
+  arguments.reserve(full_command.size() + 1);
+  for (std::string& argument : full_command)
     arguments.push_back(argument.data());
   arguments.push_back(nullptr);
 
@@ -50,7 +53,7 @@
 }
 
 void ChildProcess::Signal(int signal) const {
-  // A reaped process id may belong to another process by now.
+  // The kernel may have reused the id of a reaped process.
   if (!status_)
     kill(pid_, signal);
 }
@@ -62,27 +65,27 @@
 
 std::optional<int> ChildProcess::WaitForExit(
     std::chrono::milliseconds timeout) {
-  Eventually(timeout, [this] { return !Running(); });
+  WaitUntil(timeout, [this] { return !IsRunning(); });
   return status_;
 }
 
-bool ChildProcess::Running() {
+bool ChildProcess::IsRunning() {
   Reap(WNOHANG);
   return !status_;
 }
 
 void ChildProcess::Reap(int flags) {
-  int raw = 0;
+  int wait_status = 0;
   while (!status_) {
-    const pid_t reaped = waitpid(pid_, &raw, flags);
+    const pid_t reaped = waitpid(pid_, &wait_status, flags);
     if (reaped == pid_)
-      status_ = ToStatus(raw);
+      status_ = ToExitStatus(wait_status);
     else if (reaped == 0 || errno != EINTR)
       return;
   }
 }
 
-bool HasChildren() {
+bool HasUnreapedChildren() {
   siginfo_t info = {};
   return waitid(P_ALL, 0, &info, WEXITED | WNOHANG | WNOWAIT) == 0;
 }
--- a/process_tests/src/fleet.cc
+++ b/process_tests/src/fleet.cc
@@ -20,11 +20,12 @@
 using std::chrono::milliseconds;
 
 constexpr std::size_t kControlMembers = 3;
-// A new fleet serves after about 2 s; the rest is room for a busy machine.
-constexpr milliseconds kStartBound{30'000};
+// A new fleet serves requests after about 2 s; the margin allows for a busy
+// machine.
+constexpr milliseconds kStartTimeout{30'000};
 constexpr milliseconds kCallTimeout{12'000};
 constexpr milliseconds kProbeTimeout{1'000};
-constexpr milliseconds kSilenceTimeout{200};
+constexpr milliseconds kSilencedCallTimeout{200};
 
 std::optional<HttpAnswer> CallOnce(std::uint16_t port,
                                    const HttpCall& call,
@@ -32,7 +33,7 @@
   return HttpClient("127.0.0.1", port).Call(call, timeout);
 }
 
-std::string TextIn(const json::object& object, std::string_view member) {
+std::string StringMember(const json::object& object, std::string_view member) {
   const json::value* value = object.if_contains(member);
   return value != nullptr && value->is_string()
              ? std::string(value->get_string())
@@ -78,9 +79,9 @@
   AwaitHealthy(Instances());
   Configure();
   Caller caller(kHallKey);
-  Await("the first write", kStartBound, [&] {
+  WaitUntilOrThrow("the first write", kStartTimeout, [&] {
     return std::ranges::all_of(Instances(), [&](const std::string& instance) {
-      return caller.Write(CallerPort(instance), "set started yes").Done();
+      return caller.Write(CallerPort(instance), "set started yes").Succeeded();
     });
   });
 }
@@ -196,18 +197,18 @@
 
 void Fleet::AwaitHealthy(const std::vector<std::string>& instances) const {
   for (const std::string& instance : instances) {
-    Await(("health of " + instance).c_str(), kStartBound,
-          [&] { return Healthy(instance); });
+    WaitUntilOrThrow(("health of " + instance).c_str(), kStartTimeout,
+                     [&] { return Healthy(instance); });
   }
 }
 
-Reply Fleet::Operator(const std::string& instance,
-                      const std::string& method,
-                      const std::string& target,
-                      const json::object& body) const {
+Reply Fleet::SendOperatorRequest(const std::string& instance,
+                                 const std::string& method,
+                                 const std::string& target,
+                                 const json::object& body) const {
   HttpCall call{method, target, body.empty() ? "" : json::serialize(body), {}};
   call.headers["Authorization"] = std::string("Bearer ") + kOperatorToken;
-  return ToReply(CallOnce(OperatorPort(instance), call, kCallTimeout), true);
+  return ParseReply(CallOnce(OperatorPort(instance), call, kCallTimeout), true);
 }
 
 void Fleet::Configure() const {
@@ -230,63 +231,64 @@
       Access("fast-writes", "plan=fast", "write", "primary", 2),
       Access("writes", "plan", "write", "majority", 3)};
   Reply reply;
-  // A leader is elected after the instances answer, so the first try may be
-  // refused; its change id makes a second one safe.
-  Await("configuration", kStartBound, [&] {
-    reply = Operator("e1", "POST", "/v1/changes",
-                     {{"change_id", "setup"},
-                      {"base_revision", 0},
-                      {"author", "committee"},
-                      {"objects", objects}});
-    return reply.Done() || reply.status == 400;
+  // The leader may be elected only after the health checks succeed, so the
+  // first attempts may be refused. The change id makes retries safe.
+  WaitUntilOrThrow("configuration", kStartTimeout, [&] {
+    reply = SendOperatorRequest("e1", "POST", "/v1/changes",
+                                {{"change_id", "setup"},
+                                 {"base_revision", 0},
+                                 {"author", "committee"},
+                                 {"objects", objects}});
+    return reply.Succeeded() || reply.status == 400;
   });
-  if (!reply.Done())
+  if (!reply.Succeeded())
     throw std::runtime_error(json::serialize(reply.body));
 }
 
-json::object Fleet::Status() const {
+json::object Fleet::FetchControlStatus() const {
   for (const std::string& instance : Instances()) {
     HttpCall call{"GET", "/v1/status", "", {}};
     call.headers["Authorization"] = std::string("Bearer ") + kOperatorToken;
     const Reply reply =
-        ToReply(CallOnce(OperatorPort(instance), call, kProbeTimeout), true);
-    if (reply.Done() && reply.body.contains("control"))
+        ParseReply(CallOnce(OperatorPort(instance), call, kProbeTimeout), true);
+    if (reply.Succeeded() && reply.body.contains("control"))
       return reply.body.at("control").as_object();
   }
   return {};
 }
 
 std::string Fleet::Leader() const {
-  return TextIn(Status(), "leader");
+  return StringMember(FetchControlStatus(), "leader");
 }
 
-std::string Fleet::GroupMember(std::string_view member) const {
-  const json::object status = Status();
+std::string Fleet::GroupField(std::string_view field) const {
+  const json::object status = FetchControlStatus();
   if (!status.contains("groups"))
     return "";
   for (const json::value& group : status.at("groups").as_array()) {
-    if (TextIn(group.as_object(), "group") == "bookings")
-      return TextIn(group.as_object(), member);
+    if (StringMember(group.as_object(), "group") == "bookings")
+      return StringMember(group.as_object(), field);
   }
   return "";
 }
 
 std::string Fleet::Coordinator() const {
-  return GroupMember("coordinator");
+  return GroupField("coordinator");
 }
 
 std::string Fleet::Primary() const {
-  return GroupMember("primary");
+  return GroupField("primary");
 }
 
-std::string Fleet::OtherThan(const std::vector<std::string>& others) const {
+std::string Fleet::InstanceOtherThan(
+    const std::vector<std::string>& others) const {
   const std::vector<std::string> instances = Instances();
-  // From the end, so that control members come last.
+  // Reverse order, so that entries come before control members.
   for (auto it = instances.rbegin(); it != instances.rend(); ++it) {
     if (std::ranges::find(others, *it) == others.end())
       return *it;
   }
-  throw std::runtime_error("no other instance");
+  throw std::runtime_error("the fleet has no other instance");
 }
 
 void Fleet::SetFault(const std::string& endpoint,
@@ -295,25 +297,26 @@
   const json::object body = {{"kind", kind}, {"value", value}};
   const HttpCall call{"POST", "/v1/test/fault", json::serialize(body), {}};
   if (kind == "silence_connections") {
-    // Silences the connection of this call too, so its answer doesn't come.
-    CallOnce(EndpointPort(endpoint), call, kSilenceTimeout);
+    // The fault also silences the connection of this call, so no answer
+    // arrives.
+    CallOnce(EndpointPort(endpoint), call, kSilencedCallTimeout);
     return;
   }
   const auto answer = CallOnce(EndpointPort(endpoint), call, kCallTimeout);
   if (!answer || answer->status != 200)
-    throw std::runtime_error("fault " + kind + " not set");
+    throw std::runtime_error("setting the fault " + kind + " failed");
 }
 
-std::string Fleet::Seen(const std::string& endpoint) const {
+std::string Fleet::FetchReceivedRequests(const std::string& endpoint) const {
   const auto answer =
       CallOnce(EndpointPort(endpoint), {"GET", "/v1/test/seen_headers", "", {}},
                kCallTimeout);
   if (!answer || answer->status != 200)
-    throw std::runtime_error("no answer of " + endpoint);
+    throw std::runtime_error("no list of received requests from " + endpoint);
   return answer->body;
 }
 
-std::string Fleet::LogOf(const std::string& process) const {
+std::string Fleet::ReadLog(const std::string& process) const {
   return folder_.Read(process + ".log");
 }
 
--- a/process_tests/src/increment_load.cc
+++ b/process_tests/src/increment_load.cc
@@ -15,20 +15,20 @@
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 
-// Clients are steady but leave the processors to the daemons.
+// Pause between requests, which leaves CPU time to the daemons.
 constexpr milliseconds kPause{5};
-// Longest time that the last request is sent again after Stop().
-constexpr milliseconds kLastRequest{10'000};
+// Time limit for retries of the last request after Stop().
+constexpr milliseconds kLastRequestTimeout{10'000};
 
 }  // namespace
 
 std::string LoadReport::ToText() const {
   std::string text = fmt::format(
       "acknowledged {}, longest gap {} ms, cut {}, unknown {}, wrong {}",
-      acknowledged, longest_gap.count(), cut, unknown, wrong.size());
+      acknowledged, longest_gap.count(), cut, unknown, wrong_values.size());
   for (const auto& [code, count] : codes)
     text += fmt::format(", code {}: {}", code, count);
-  for (const std::string& line : wrong)
+  for (const std::string& line : wrong_values)
     text += "\n  " + line;
   return text;
 }
@@ -46,9 +46,10 @@
   Stop();
 }
 
-bool IncrementLoad::Continues(std::int64_t more, milliseconds bound) const {
-  const std::int64_t target = acknowledged_ + more;
-  return Eventually(bound, [&] { return acknowledged_ >= target; });
+bool IncrementLoad::AwaitProgress(std::int64_t count,
+                                  milliseconds timeout) const {
+  const std::int64_t target = acknowledged_ + count;
+  return WaitUntil(timeout, [&] { return acknowledged_ >= target; });
 }
 
 LoadReport IncrementLoad::Stop() {
@@ -60,42 +61,43 @@
 
 void IncrementLoad::Run() {
   Caller caller(Fleet::kHallKey);
-  std::size_t next = 0;
-  auto last = steady_clock::now();
+  std::size_t port_index = 0;
+  auto last_acknowledgement = steady_clock::now();
   while (!stopping_) {
     const std::string expected = std::to_string(report_.acknowledged + 1);
-    const std::string id = counter_ + "-" + expected;
-    auto end = steady_clock::time_point::max();
-    while (steady_clock::now() < end) {
+    const std::string request_id = counter_ + "-" + expected;
+    auto deadline = steady_clock::time_point::max();
+    while (steady_clock::now() < deadline) {
       const Reply reply =
-          caller.Post(ports_[next % ports_.size()], "/v1/execute",
+          caller.Post(ports_[port_index % ports_.size()], "/v1/execute",
                       {{"group", "bookings"},
                        {"kind", "write"},
                        {"statement", "incr " + counter_},
-                       {"request_id", id},
+                       {"request_id", request_id},
                        {"timeout_ms", request_timeout_.count()}});
       ++report_.codes[reply.code];
       report_.cut += reply.code == -1 && reply.sent ? 1 : 0;
       report_.unknown += reply.outcome == "unknown" ? 1 : 0;
-      if (reply.Done()) {
+      if (reply.Succeeded()) {
         const auto now = steady_clock::now();
-        report_.longest_gap =
-            std::max(report_.longest_gap,
-                     std::chrono::duration_cast<milliseconds>(now - last));
-        last = now;
+        report_.longest_gap = std::max(report_.longest_gap,
+                                       std::chrono::duration_cast<milliseconds>(
+                                           now - last_acknowledgement));
+        last_acknowledgement = now;
         if (reply.Text("value") != expected) {
-          report_.wrong.push_back(fmt::format("{} got {}, expected {}", id,
-                                              reply.Text("value"), expected));
+          report_.wrong_values.push_back(
+              fmt::format("{} got {}, expected {}", request_id,
+                          reply.Text("value"), expected));
         }
         acknowledged_ = ++report_.acknowledged;
         break;
       }
-      ++next;
-      if (stopping_ && end == steady_clock::time_point::max())
-        end = steady_clock::now() + kLastRequest;
+      ++port_index;
+      if (stopping_ && deadline == steady_clock::time_point::max())
+        deadline = steady_clock::now() + kLastRequestTimeout;
       std::this_thread::sleep_for(kPause);
     }
-    ++next;
+    ++port_index;
     std::this_thread::sleep_for(kPause);
   }
 }
--- a/process_tests/src/raw_connection.cc
+++ b/process_tests/src/raw_connection.cc
@@ -34,8 +34,9 @@
   while (!bytes.empty()) {
     const ssize_t sent =
         send(socket_, bytes.data(), bytes.size(), MSG_NOSIGNAL);
+    // The server has closed the connection; its answer can still be read.
     if (sent <= 0)
-      return;  // the server has closed the connection; its answer is read next
+      return;
     bytes.remove_prefix(static_cast<std::size_t>(sent));
   }
 }
@@ -47,11 +48,12 @@
   std::string received;
   std::array<char, 4096> buffer{};
   while (received.find(expected) == std::string::npos) {
-    const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(
-        deadline - std::chrono::steady_clock::now());
-    pollfd waiting = {.fd = socket_, .events = POLLIN};
-    if (left.count() <= 0 ||
-        poll(&waiting, 1, static_cast<int>(left.count())) <= 0)
+    const auto remaining =
+        std::chrono::duration_cast<std::chrono::milliseconds>(
+            deadline - std::chrono::steady_clock::now());
+    pollfd readable = {.fd = socket_, .events = POLLIN};
+    if (remaining.count() <= 0 ||
+        poll(&readable, 1, static_cast<int>(remaining.count())) <= 0)
       break;
     const ssize_t count = recv(socket_, buffer.data(), buffer.size(), 0);
     if (count <= 0)
--- a/process_tests/src/reserved_port.cc
+++ b/process_tests/src/reserved_port.cc
@@ -12,13 +12,14 @@
 
 ReservedPort::ReservedPort()
     : socket_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
-  const int on = 1;
+  const int enabled = 1;
   sockaddr_in address = {};
   address.sin_family = AF_INET;
   address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
   socklen_t size = sizeof(address);
   auto* generic = reinterpret_cast<sockaddr*>(&address);
-  if (setsockopt(socket_, SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on)) != 0 ||
+  if (setsockopt(socket_, SOL_SOCKET, SO_REUSEADDR, &enabled,
+                 sizeof(enabled)) != 0 ||
       bind(socket_, generic, size) != 0 ||
       getsockname(socket_, generic, &size) != 0) {
     const int error = errno;
--- a/process_tests/src/wait.cc
+++ b/process_tests/src/wait.cc
@@ -6,10 +6,10 @@
 
 namespace goldcrest::process_tests {
 
-bool Eventually(std::chrono::milliseconds bound,
-                const std::function<bool()>& condition) {
+bool WaitUntil(std::chrono::milliseconds timeout,
+               const std::function<bool()>& condition) {
   constexpr std::chrono::milliseconds interval{5};
-  const auto deadline = std::chrono::steady_clock::now() + bound;
+  const auto deadline = std::chrono::steady_clock::now() + timeout;
   while (!condition()) {
     if (std::chrono::steady_clock::now() > deadline)
       return false;
@@ -18,11 +18,11 @@
   return true;
 }
 
-void Await(const char* what,
-           std::chrono::milliseconds bound,
-           const std::function<bool()>& condition) {
-  if (!Eventually(bound, condition))
-    throw std::runtime_error(std::string("timed out: ") + what);
+void WaitUntilOrThrow(const char* what,
+                      std::chrono::milliseconds timeout,
+                      const std::function<bool()>& condition) {
+  if (!WaitUntil(timeout, condition))
+    throw std::runtime_error(std::string("timed out waiting for ") + what);
 }
 
 }  // namespace goldcrest::process_tests
--- a/process_tests/tests/data_folder_test.cc
+++ b/process_tests/tests/data_folder_test.cc
@@ -15,30 +15,32 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kBound{15'000};
-constexpr milliseconds kExitBound{5'000};
-// Several election timeouts, of 0.8 s at most.
-constexpr milliseconds kNoLeaderTime{3'000};
+constexpr milliseconds kTimeout{15'000};
+constexpr milliseconds kExitTimeout{5'000};
+// Several election timeouts, which are 0.8 s at most.
+constexpr milliseconds kNoLeaderPeriod{3'000};
 
-std::string Objects(const Fleet& fleet, const std::string& instance) {
-  const Reply reply = fleet.Operator(instance, "GET", "/v1/objects");
-  return reply.Done() ? boost::json::serialize(reply.body) : "";
+std::string FetchObjects(const Fleet& fleet, const std::string& instance) {
+  const Reply reply = fleet.SendOperatorRequest(instance, "GET", "/v1/objects");
+  return reply.Succeeded() ? boost::json::serialize(reply.body) : "";
 }
 
 Reply AddCustomer(const Fleet& fleet,
                   const std::string& instance,
                   const std::string& name) {
-  return fleet.Operator(
+  return fleet.SendOperatorRequest(
       instance, "POST", "/v1/changes",
       {{"change_id", "add-" + name},
-       {"base_revision", fleet.Operator(instance, "GET", "/v1/objects")
-                             .Number("revision")
-                             .value()},
+       {"base_revision",
+        fleet.SendOperatorRequest(instance, "GET", "/v1/objects")
+            .Number("revision")
+            .value()},
        {"author", "committee"},
        {"objects", {{{"kind", "customer"}, {"name", name}}}}});
 }
 
-void Overwrite(const std::filesystem::path& path, std::uintmax_t offset) {
+//! Flips bits of the byte at `offset`.
+void CorruptByte(const std::filesystem::path& path, std::uintmax_t offset) {
   std::fstream file(path, std::ios::in | std::ios::out | std::ios::binary);
   file.seekg(static_cast<std::streamoff>(offset));
   const char byte = static_cast<char>(file.get() ^ 0x55);
@@ -48,28 +50,29 @@
 
 }  // namespace
 
-// Fails when something is answered before it is durable.
-TEST_CASE("Configuration survives the death of all control members",
+// Guards against changes that are acknowledged before they are durable.
+TEST_CASE("Configuration survives a kill of all control members",
           "[process_tests][guarantee]") {
   Fleet fleet;
-  REQUIRE(AddCustomer(fleet, "e4", "added-late").Done());
+  REQUIRE(AddCustomer(fleet, "e4", "added-late").Succeeded());
   for (const char* member : {"e1", "e2", "e3"})
     fleet.Daemon(member).Kill();
   for (const char* member : {"e1", "e2", "e3"})
     fleet.StartDaemon(member);
   for (const char* member : {"e1", "e2", "e3"})
-    CHECK(Eventually(kBound, [&] {
-      return Objects(fleet, member).find("added-late") != std::string::npos;
+    CHECK(WaitUntil(kTimeout, [&] {
+      return FetchObjects(fleet, member).find("added-late") !=
+             std::string::npos;
     }));
   fleet.AwaitHealthy(fleet.Instances());
   Caller caller(Fleet::kHallKey);
-  CHECK(Eventually(kBound, [&] {
-    return caller.Write(fleet.CallerPort("e1"), "set van booked").Done();
+  CHECK(WaitUntil(kTimeout, [&] {
+    return caller.Write(fleet.CallerPort("e1"), "set van booked").Succeeded();
   }));
 }
 
-// Fails when a member without its history votes: it could elect one that lacks
-// a change it had itself confirmed.
+// Guards against a member that votes after losing its log: its vote could elect
+// a leader that lacks a change which the member had confirmed before the loss.
 TEST_CASE("A member that lost its data folder does not vote",
           "[process_tests][guarantee]") {
   Fleet fleet;
@@ -79,33 +82,36 @@
     if (member != leader)
       followers.emplace_back(member);
   }
-  const std::string& behind = followers.front();
-  const std::string& lost = followers.back();
-  fleet.Daemon(behind).Signal(SIGSTOP);
-  REQUIRE(AddCustomer(fleet, leader, "added-late").Done());
-  fleet.Daemon(lost).Kill();
+  const std::string& lagging_member = followers.front();
+  const std::string& member_without_data = followers.back();
+  fleet.Daemon(lagging_member).Signal(SIGSTOP);
+  REQUIRE(AddCustomer(fleet, leader, "added-late").Succeeded());
+  fleet.Daemon(member_without_data).Kill();
   fleet.Daemon(leader).Kill();
-  std::filesystem::remove_all(fleet.DataFolder(lost));
-  fleet.Daemon(behind).Signal(SIGCONT);
-  fleet.StartDaemon(lost);
+  std::filesystem::remove_all(fleet.DataFolder(member_without_data));
+  fleet.Daemon(lagging_member).Signal(SIGCONT);
+  fleet.StartDaemon(member_without_data);
   CHECK_FALSE(
-      Eventually(kNoLeaderTime, [&] { return !fleet.Leader().empty(); }));
+      WaitUntil(kNoLeaderPeriod, [&] { return !fleet.Leader().empty(); }));
 
   fleet.StartDaemon(leader);
   fleet.AwaitHealthy(fleet.Instances());
   for (const std::string& instance : fleet.Instances()) {
     INFO(instance);
-    CHECK(Objects(fleet, instance).find("added-late") != std::string::npos);
+    CHECK(FetchObjects(fleet, instance).find("added-late") !=
+          std::string::npos);
   }
-  // Admitted again, it makes a majority with one other.
-  fleet.Daemon(behind).Kill();
-  CHECK(Eventually(
-      kBound, [&] { return AddCustomer(fleet, "e4", "added-last").Done(); }));
+  // Once readmitted, the member forms a majority with one other member.
+  fleet.Daemon(lagging_member).Kill();
+  CHECK(WaitUntil(kTimeout, [&] {
+    return AddCustomer(fleet, "e4", "added-last").Succeeded();
+  }));
 }
 
-// Fails when an incomplete last record stops a member, or when damage before it
-// is taken for one.
-TEST_CASE("A log cut at its end starts and one damaged before it does not",
+// Guards against a member that doesn't start because the last record of its log
+// is incomplete, and against damage before the last record that is taken for an
+// incomplete record.
+TEST_CASE("A member starts with a truncated log but not with a damaged one",
           "[process_tests][guarantee]") {
   Fleet fleet;
   const auto log = fleet.DataFolder("e3") / "log";
@@ -113,20 +119,20 @@
   std::filesystem::resize_file(log, std::filesystem::file_size(log) - 3);
   fleet.StartDaemon("e3");
   fleet.AwaitHealthy({"e3"});
-  CHECK(Eventually(kBound, [&] {
-    return Objects(fleet, "e3").find("k-hall") != std::string::npos;
+  CHECK(WaitUntil(kTimeout, [&] {
+    return FetchObjects(fleet, "e3").find("k-hall") != std::string::npos;
   }));
 
   fleet.Daemon("e3").Kill();
-  Overwrite(log, std::filesystem::file_size(log) / 2);
+  CorruptByte(log, std::filesystem::file_size(log) / 2);
   fleet.StartDaemon("e3");
-  const auto status = fleet.Daemon("e3").WaitForExit(kExitBound);
+  const auto status = fleet.Daemon("e3").WaitForExit(kExitTimeout);
   REQUIRE(status.has_value());
   CHECK(*status == EX_IOERR);
-  CHECK(fleet.LogOf("e3").find("error 700 log_damaged") != std::string::npos);
+  CHECK(fleet.ReadLog("e3").find("error 700 log_damaged") != std::string::npos);
   Caller caller(Fleet::kHallKey);
-  CHECK(Eventually(kBound, [&] {
-    return caller.Write(fleet.CallerPort("e4"), "set van booked").Done();
+  CHECK(WaitUntil(kTimeout, [&] {
+    return caller.Write(fleet.CallerPort("e4"), "set van booked").Succeeded();
   }));
 }
 
--- a/process_tests/tests/endpoint_faults_test.cc
+++ b/process_tests/tests/endpoint_faults_test.cc
@@ -13,20 +13,21 @@
 
 using std::chrono::milliseconds;
 
-// The stated limit of the failover gap.
-constexpr milliseconds kGapBound{5'000};
-constexpr milliseconds kBound{20'000};
-constexpr std::int64_t kSteady = 20;
+// Guaranteed limit of the failover gap.
+constexpr milliseconds kMaxFailoverGap{5'000};
+constexpr milliseconds kTimeout{20'000};
+constexpr std::int64_t kProgressRequests = 20;
 constexpr std::array<const char*, 3> kEndpoints = {"b1", "b2", "b3"};
 
-//! Reads its own key over and over, with a timeout shorter than the delayed
-//! answers, so that late answers meet the reads of others.
+//! Client thread that reads its own key repeatedly. Its timeout is shorter than
+//! the injected delay, so late answers arrive during the reads of other
+//! clients.
 class ReadLoad {
  public:
   ReadLoad(const Fleet& fleet, const std::string& name)
       : name_(name), port_(fleet.CallerPort("e4")) {
-    if (!caller_.Write(port_, "set " + name + " " + name).Done())
-      throw std::runtime_error("no write of " + name);
+    if (!caller_.Write(port_, "set " + name + " " + name).Succeeded())
+      throw std::runtime_error("failed to write the key " + name);
     thread_ = std::thread([this] { Run(); });
   }
   ~ReadLoad() { Stop(); }
@@ -39,11 +40,11 @@
       thread_.join();
   }
 
-  bool Continues(int more, milliseconds bound) const {
-    const int target = right_ + more;
-    return Eventually(bound, [&] { return right_ >= target; });
+  bool AwaitProgress(int count, milliseconds timeout) const {
+    const int target = correct_answers_ + count;
+    return WaitUntil(timeout, [&] { return correct_answers_ >= target; });
   }
-  int wrong() const { return wrong_; }
+  int wrong_answers() const { return wrong_answers_; }
 
  private:
   void Run() {
@@ -55,29 +56,32 @@
                                         {"idempotent", true},
                                         {"statement", "get " + name_},
                                         {"timeout_ms", timeout_ms}});
-      if (reply.Done())
-        ++(reply.Text("value") == name_ ? right_ : wrong_);
+      if (reply.Succeeded())
+        ++(reply.Text("value") == name_ ? correct_answers_ : wrong_answers_);
     }
   }
 
   std::string name_;
   std::uint16_t port_;
   Caller caller_{Fleet::kHallKey};
-  std::atomic<int> right_{0};
-  std::atomic<int> wrong_{0};
+  std::atomic<int> correct_answers_{0};
+  std::atomic<int> wrong_answers_{0};
   std::atomic<bool> stopping_{false};
   std::thread thread_;
 };
 
-void SetOnAll(const Fleet& fleet, const std::string& kind, std::int64_t value) {
+void SetFaultOnAll(const Fleet& fleet,
+                   const std::string& kind,
+                   std::int64_t value) {
   for (const char* endpoint : kEndpoints)
     fleet.SetFault(endpoint, kind, value);
 }
 
 }  // namespace
 
-// Fails when an answer is matched by its connection or its order instead of by
-// call id, or when a write is run again after its answer was lost.
+// Guards against answers that are matched to requests by connection or order
+// instead of by call id, and against writes that are run again after their
+// answer was lost.
 TEST_CASE("Late, lost and crossed answers reach no wrong caller",
           "[process_tests][guarantee]") {
   Fleet fleet;
@@ -86,49 +90,49 @@
     readers.push_back(std::make_unique<ReadLoad>(fleet, name));
   IncrementLoad writer("load-1",
                        {fleet.CallerPort("e1"), fleet.CallerPort("e5")});
-  const auto await_progress = [&] {
-    CHECK(writer.Continues(kSteady, kBound));
+  const auto check_progress = [&] {
+    CHECK(writer.AwaitProgress(kProgressRequests, kTimeout));
     for (const auto& reader : readers)
-      CHECK(reader->Continues(kSteady, kBound));
+      CHECK(reader->AwaitProgress(kProgressRequests, kTimeout));
   };
-  await_progress();
-  // Longer than the readers' timeout: each answer is late.
-  SetOnAll(fleet, "delay_answer_ms", 250);
-  CHECK(writer.Continues(2, kBound));
-  SetOnAll(fleet, "delay_answer_ms", 0);
-  await_progress();
-  SetOnAll(fleet, "drop_answer", 10);
-  await_progress();
-  SetOnAll(fleet, "cross_answers", 10);
-  await_progress();
+  check_progress();
+  // Longer than the timeout of the readers, so each answer is late.
+  SetFaultOnAll(fleet, "delay_answer_ms", 250);
+  CHECK(writer.AwaitProgress(2, kTimeout));
+  SetFaultOnAll(fleet, "delay_answer_ms", 0);
+  check_progress();
+  SetFaultOnAll(fleet, "drop_answer", 10);
+  check_progress();
+  SetFaultOnAll(fleet, "cross_answers", 10);
+  check_progress();
   for (const auto& reader : readers) {
     reader->Stop();
-    CHECK(reader->wrong() == 0);
+    CHECK(reader->wrong_answers() == 0);
   }
   const LoadReport report = writer.Stop();
   INFO(report.ToText());
-  CHECK(report.wrong.empty());
+  CHECK(report.wrong_values.empty());
 }
 
-// Fails when a connection that gets no answers is used again after its request
-// has timed out, or is never probed. A request under way ends at its own
-// deadline, so the clients have one of 1 s.
+// Guards against a connection that is used again after a request on it has
+// timed out, and against silent connections that are never probed. A request in
+// progress ends only at its own deadline, so the clients use a timeout of 1 s.
 TEST_CASE("Endpoint connections that go silent are replaced within 5 s",
           "[process_tests]") {
   Fleet fleet;
   constexpr milliseconds request_timeout{1'000};
   IncrementLoad load("load-1", {fleet.CallerPort("e4"), fleet.CallerPort("e5")},
                      request_timeout);
-  REQUIRE(load.Continues(kSteady, kBound));
-  const std::string silent = fleet.Primary();
-  fleet.SetFault(silent, "silence_connections", 1);
-  CHECK(load.Continues(kSteady, kBound));
-  SetOnAll(fleet, "silence_connections", 1);
-  CHECK(load.Continues(kSteady, kBound));
+  REQUIRE(load.AwaitProgress(kProgressRequests, kTimeout));
+  const std::string silent_endpoint = fleet.Primary();
+  fleet.SetFault(silent_endpoint, "silence_connections", 1);
+  CHECK(load.AwaitProgress(kProgressRequests, kTimeout));
+  SetFaultOnAll(fleet, "silence_connections", 1);
+  CHECK(load.AwaitProgress(kProgressRequests, kTimeout));
   const LoadReport report = load.Stop();
   INFO(report.ToText());
-  CHECK(report.longest_gap <= kGapBound);
-  CHECK(report.wrong.empty());
+  CHECK(report.longest_gap <= kMaxFailoverGap);
+  CHECK(report.wrong_values.empty());
 }
 
 }  // namespace goldcrest::process_tests
--- a/process_tests/tests/requests_test.cc
+++ b/process_tests/tests/requests_test.cc
@@ -12,8 +12,8 @@
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 
-// The stated target of guarantee 6.
-constexpr milliseconds kWithdrawalBound{6'000};
+// Time limit of guarantee 6.
+constexpr milliseconds kMaxWithdrawalDelay{6'000};
 
 constexpr int kRateExceeded = 300;
 constexpr int kKeyWithdrawn = 202;
@@ -21,25 +21,26 @@
 struct RateCounts {
   int done = 0;
   int refused = 0;
-  int other = 0;  //!< Neither of the two.
+  int other = 0;  //!< Neither done nor refused by rate.
   int with_retry_after = 0;
   int bad_retry_after = 0;
 };
 
-//! One client that sends requests one after another as fast as it can.
-RateCounts ReadUntil(std::uint16_t port, steady_clock::time_point end) {
+//! Sends reads one after another, without pauses, until `end`.
+RateCounts SendReadsUntil(std::uint16_t port, steady_clock::time_point end) {
   Caller caller(Fleet::kShopKey);
   RateCounts counts;
   while (steady_clock::now() < end) {
     const Reply reply = caller.Read(port, "van");
-    if (reply.Done()) {
+    if (reply.Succeeded()) {
       ++counts.done;
       continue;
     }
-    const bool by_rate = reply.status == 429 && reply.code == kRateExceeded &&
-                         reply.outcome == "not_run";
-    ++(by_rate ? counts.refused : counts.other);
-    // Left out where the entry can't tell a true time.
+    const bool rate_exceeded = reply.status == 429 &&
+                               reply.code == kRateExceeded &&
+                               reply.outcome == "not_run";
+    ++(rate_exceeded ? counts.refused : counts.other);
+    // An entry omits the field when it doesn't know when to retry.
     const auto retry_after = reply.Number("retry_after_ms");
     if (!retry_after)
       continue;
@@ -52,8 +53,9 @@
 
 }  // namespace
 
-// Fails when a read is routed without regard to the caller's mark, or when a
-// transaction's writes are seen before the commit or after a rollback.
+// Guards against reads that are routed without regard to the position in the
+// caller's session, and against writes of a transaction that are visible before
+// the commit or after a rollback.
 TEST_CASE("A caller reads its own writes and transactions through any entry",
           "[process_tests][guarantee]") {
   Fleet fleet;
@@ -64,33 +66,33 @@
     const auto write_port = fleet.CallerPort(instances[i % instances.size()]);
     const auto read_port =
         fleet.CallerPort(instances[(i + 1) % instances.size()]);
-    REQUIRE(caller.Write(write_port, "set facade " + value).Done());
+    REQUIRE(caller.Write(write_port, "set facade " + value).Succeeded());
     const Reply read = caller.Read(read_port, "facade");
-    REQUIRE(read.Done());
+    REQUIRE(read.Succeeded());
     CHECK(read.Text("value") == value);
   }
 
   const auto port = fleet.CallerPort("e4");
   const auto other_port = fleet.CallerPort("e2");
   Caller other(Fleet::kHallKey);
-  for (const bool commits : {false, true}) {
+  for (const bool commit : {false, true}) {
     const Reply begun = caller.Begin(port);
-    REQUIRE(begun.Done());
+    REQUIRE(begun.Succeeded());
     const std::string transaction = begun.Text("transaction");
-    REQUIRE(caller.Write(port, "set van booked", "", transaction).Done());
+    REQUIRE(caller.Write(port, "set van booked", "", transaction).Succeeded());
     CHECK(caller.Read(port, "van", transaction).Text("value") == "booked");
     CHECK(other.Read(other_port, "van").Text("value").empty());
-    const Reply ended = commits ? caller.Commit(port, transaction)
-                                : caller.Rollback(port, transaction);
-    REQUIRE(ended.Done());
+    const Reply ended = commit ? caller.Commit(port, transaction)
+                               : caller.Rollback(port, transaction);
+    REQUIRE(ended.Succeeded());
     const Reply after = caller.Read(other_port, "van");
-    REQUIRE(after.Done());
-    CHECK(after.Text("value") == (commits ? "booked" : ""));
+    REQUIRE(after.Succeeded());
+    CHECK(after.Text("value") == (commit ? "booked" : ""));
   }
 }
 
-// Fails when entries count a customer's rate each for itself, or when a refusal
-// by rate is not said to be one.
+// Guards against entries that each enforce the whole rate of a customer on
+// their own, and against refusals that don't name the rate as their cause.
 TEST_CASE("A customer over its rate is refused over all entries together",
           "[process_tests][guarantee]") {
   const Fleet fleet;
@@ -98,12 +100,12 @@
   const auto start = steady_clock::now();
   const auto end = start + load_time;
   std::vector<std::future<RateCounts>> clients;
-  // Two to each entry, so that each needs a share.
+  // Two clients per instance, so that each instance needs a share of the rate.
   for (int i = 0; i < 2; ++i) {
     for (const std::string& instance : fleet.Instances()) {
       clients.push_back(std::async(std::launch::async,
                                    [port = fleet.CallerPort(instance), end] {
-                                     return ReadUntil(port, end);
+                                     return SendReadsUntil(port, end);
                                    }));
     }
   }
@@ -116,45 +118,47 @@
     sum.with_retry_after += counts.with_retry_after;
     sum.bad_retry_after += counts.bad_retry_after;
   }
-  const std::chrono::duration<double> passed = steady_clock::now() - start;
-  INFO("done " << sum.done << ", refused " << sum.refused << ", with time "
-               << sum.with_retry_after);
-  CHECK(sum.done <= Fleet::kShopBurst + Fleet::kShopRate * passed.count());
+  const std::chrono::duration<double> elapsed = steady_clock::now() - start;
+  INFO("done " << sum.done << ", refused " << sum.refused
+               << ", with retry_after_ms " << sum.with_retry_after);
+  CHECK(sum.done <= Fleet::kShopBurst + Fleet::kShopRate * elapsed.count());
   CHECK(sum.done >= Fleet::kShopBurst);
   CHECK(sum.refused > 0);
   CHECK(sum.other == 0);
   CHECK(sum.bad_retry_after == 0);
 }
 
-// Fails when the key is checked once per connection only.
-TEST_CASE("A withdrawn key stops on an open connection within 6 s",
+// Guards against a key that is checked only once per connection.
+TEST_CASE("A withdrawn key is refused on an open connection within 6 s",
           "[process_tests][guarantee]") {
   Fleet fleet;
   Caller caller(Fleet::kHallKey);
   const auto port = fleet.CallerPort("e5");
-  REQUIRE(caller.Read(port, "van").Done());
+  REQUIRE(caller.Read(port, "van").Succeeded());
   REQUIRE(
-      fleet.Operator("e2", "DELETE", "/v1/keys/k-hall?change_id=w1").Done());
+      fleet.SendOperatorRequest("e2", "DELETE", "/v1/keys/k-hall?change_id=w1")
+          .Succeeded());
   Reply reply;
-  CHECK(Eventually(kWithdrawalBound, [&] {
+  CHECK(WaitUntil(kMaxWithdrawalDelay, [&] {
     reply = caller.Read(port, "van");
-    return !reply.Done();
+    return !reply.Succeeded();
   }));
   CHECK(reply.code == kKeyWithdrawn);
   CHECK(reply.outcome == "not_run");
 }
 
-// Fails when the fixture loses track of a process it started.
-TEST_CASE("A fleet that is gone leaves no process and no folder",
+// Guards against child processes and folders that the fixture fails to clean
+// up.
+TEST_CASE("A destroyed fleet leaves no process and no folder",
           "[process_tests]") {
   std::filesystem::path folder;
   {
     const Fleet fleet;
     folder = fleet.folder().path();
-    CHECK(HasChildren());
+    CHECK(HasUnreapedChildren());
     CHECK(std::filesystem::exists(folder));
   }
-  CHECK_FALSE(HasChildren());
+  CHECK_FALSE(HasUnreapedChildren());
   CHECK_FALSE(std::filesystem::exists(folder));
 }
 
