--- a/soak/callers.py
+++ b/soak/callers.py
@@ -1,194 +1,210 @@
-"""Callers: sessions that read, write and run transactions, and check what they
-are told."""
+"""Simulated callers: sessions that read, write and run transactions, and check
+the answers."""
 
 import asyncio
 import random
 import time
 
 import wire
-from record import Operation, Sent
+from record import Operation, SentStatement
 
-ANSWER_SECONDS = 6
-PAUSE_SECONDS = 0.1
+ANSWER_TIMEOUT_SECONDS = 6
+MEAN_PAUSE_SECONDS = 0.1
 
 
-class Lost(Exception):
-    """The session ended without an answer."""
+class SessionLost(Exception):
+    """The session ended before a statement was answered."""
 
 
-class Refused(Exception):
-    """The statement was answered with an error."""
+class StatementRefused(Exception):
+    """The statement was answered with an error code."""
 
 
 class Caller:
-    def __init__(self, name, world, seed):
+    """Runs one session after another, each through a random entry and route."""
+
+    def __init__(self, name, testbed, seed):
         self.name = name
-        self.world = world
-        self.record = world.record
+        self.testbed = testbed
+        self.record = testbed.record
         self.random = random.Random(seed)
-        self.count = 0
+        self.statement_count = 0
 
     async def run(self):
-        while not self.world.stopping:
+        while not self.testbed.stopping:
             try:
-                await self.session()
-            except (Lost, OSError, asyncio.IncompleteReadError,
+                await self.run_session()
+            except (SessionLost, OSError, asyncio.IncompleteReadError,
                     asyncio.TimeoutError):
                 self.record.failed += 1
-            await asyncio.sleep(self.random.uniform(0, 4 * PAUSE_SECONDS))
-
-    async def session(self):
-        self.entry = self.random.choice(self.world.entries)
-        self.route = self.random.choice(self.world.routes)
-        self.group = self.world.groups[self.route[3]]
-        self.customer, self.key = self.random.choice(self.world.keys())
-        self.values, self.prepared, self.own_commit = {}, {}, None
+            await asyncio.sleep(self.random.uniform(0, 4 * MEAN_PAUSE_SECONDS))
+
+    async def run_session(self):
+        self.entry = self.random.choice(self.testbed.entries)
+        self.route = self.random.choice(self.testbed.routes)
+        self.group = self.testbed.groups[self.route[3]]
+        self.customer, self.key = self.random.choice(self.testbed.caller_keys())
+        self.session_values, self.prepared_statements = {}, {}
+        self.last_own_commit = None  # (number in the log, id of the commit)
         reader, self.writer = await asyncio.open_connection(*self.entry.proxy)
         self.reader = reader
         try:
-            self.writer.write(f"STARTUP {self.route[0]} {self.key}\r\n".encode())
-            first = await self.line(2.5)
-            if not first.startswith("READY"):
+            self.writer.write(
+                f"STARTUP {self.route[0]} {self.key}\r\n".encode())
+            response = await self.read_line(2.5)
+            if not response.startswith("READY"):
                 self.record.refused += 1
                 return
             for _ in range(self.random.randint(1, 30)):
-                if self.world.stopping:
+                if self.testbed.stopping:
                     break
-                await self.operation()
+                await self.run_operation()
                 await asyncio.sleep(
-                    self.random.expovariate(1 / PAUSE_SECONDS))
+                    self.random.expovariate(1 / MEAN_PAUSE_SECONDS))
             self.writer.write(b"TERMINATE\r\n")
-        except Refused:
+        except StatementRefused:
             self.record.refused += 1
         finally:
             self.writer.close()
 
-    async def line(self, seconds=ANSWER_SECONDS):
-        data = await asyncio.wait_for(self.reader.readline(), seconds)
+    async def read_line(self, timeout_seconds=ANSWER_TIMEOUT_SECONDS):
+        data = await asyncio.wait_for(self.reader.readline(),
+                                      timeout_seconds)
         if not data.endswith(b"\n"):
-            raise Lost()
+            raise SessionLost()
         return data.decode().rstrip("\r\n")
 
-    async def operation(self):
-        self.current = Operation(self.name, self.customer, self.key,
-                                 self.route, self.values)
-        kind = self.random.random()
-        if kind < 0.1:
+    async def run_operation(self):
+        self.current_operation = Operation(
+            self.name, self.customer, self.key, self.route,
+            self.session_values)
+        draw = self.random.random()
+        if draw < 0.1:
             value = str(self.random.randint(1, 3))
-            await self.query(f"SET mode {value}")
-            self.values["mode"] = value
+            await self.run_statement(f"SET mode {value}")
+            self.session_values["mode"] = value
             return
-        if kind < 0.2:
+        if draw < 0.2:
             access = self.random.choice(["READ", "WRITE"])
             shape = f"q{self.random.randint(1, 4)}"
-            await self.query(f"PREPARE s1 {access} {shape}")
-            self.prepared["s1"] = (access, shape)
+            await self.run_statement(f"PREPARE s1 {access} {shape}")
+            self.prepared_statements["s1"] = (access, shape)
             return
-        if kind < 0.75:
-            await self.query(self.statement(self.random.random() < 0.25))
+        if draw < 0.75:
+            await self.run_statement(
+                self.choose_statement(self.random.random() < 0.25))
         else:
-            await self.transaction()
-        self.record.done += 1
+            await self.run_transaction()
+        self.record.completed += 1
 
-    def statement(self, writes):
+    def choose_statement(self, writes):
         item = self.random.randint(1, 50)
-        prepared = self.prepared.get("s1")
+        prepared = self.prepared_statements.get("s1")
         if prepared and (prepared[0] == "WRITE") == writes:
             return f"EXECUTE s1 {item}" + (" data" if writes else "")
         return f"WRITE {item} data" if writes else f"READ {item}"
 
-    async def transaction(self):
+    async def run_transaction(self):
         read_only = self.random.random() < 0.3
-        await self.query("BEGIN READ" if read_only else "BEGIN")
+        await self.run_statement("BEGIN READ" if read_only else "BEGIN")
         for _ in range(self.random.randint(1, 4)):
             writes = not read_only and self.random.random() < 0.4
-            await self.query(self.statement(writes))
+            await self.run_statement(self.choose_statement(writes))
             if self.random.random() < 0.3:
                 await asyncio.sleep(self.random.uniform(0, 0.2))
         if self.random.random() < 0.03:
-            raise Lost()  # leaves inside the transaction
-        await self.query("ROLLBACK" if self.random.random() < 0.1 else "COMMIT")
+            raise SessionLost()  # disconnects inside the transaction
+        await self.run_statement(
+            "ROLLBACK" if self.random.random() < 0.1 else "COMMIT")
 
-    def as_run(self, text):
+    def expected_execution(self, text):
+        """Returns (verb, shape, rest) with which a database runs the text."""
         verb, _, rest = text.partition(" ")
         if verb != "EXECUTE":
             return verb, None, rest
         name, _, rest = rest.partition(" ")
-        return verb, self.prepared[name][1], rest
-
-    async def query(self, text):
-        self.count += 1
-        statement = f"{self.name}-{self.count}"
-        self.record.sent[statement] = Sent(self.current, text,
-                                           self.as_run(text))
+        return verb, self.prepared_statements[name][1], rest
+
+    async def run_statement(self, text):
+        """Sends a statement and checks its answer; raises on an error code."""
+        self.statement_count += 1
+        statement = f"{self.name}-{self.statement_count}"
+        self.record.sent_statements[statement] = SentStatement(
+            self.current_operation, text, self.expected_execution(text))
         self.writer.write(f"QUERY {statement} {text}\r\n".encode())
         rows, error, signature = [], None, None
         while True:
-            word, _, rest = (await self.line()).partition(" ")
-            if word == "DATAROW":
+            response_type, _, rest = (await self.read_line()).partition(" ")
+            if response_type == "DATAROW":
                 rows.append(rest)
-            elif word == "COMPLETE":
+            elif response_type == "COMPLETE":
                 signature = rest
-            elif word == "ERROR":
+            elif response_type == "ERROR":
                 error = rest.split(" ")[0]
-            elif word == "READY":
+            elif response_type == "READY":
                 break
             else:
-                self.record.violation("mixed", f"{statement}: {word}")
-        self.record.check_key(self.current, error or "done",
-                              [self.entry.name] + self.world.controller_names)
+                self.record.add_violation(
+                    "mixed", f"{statement}: unknown response {response_type}")
+        self.record.check_key(self.current_operation, error or "done",
+                              [self.entry.name] + self.testbed.controller_names)
         if error:
-            self.record.told(statement, error, self.group)
-            raise Refused(error)
-        self.done(statement, text, rows, signature)
+            self.record.on_error(statement, error, self.group)
+            raise StatementRefused(error)
+        self.on_success(statement, text, rows, signature)
 
-    def done(self, statement, text, rows, signature):
+    def on_success(self, statement, text, rows, signature):
         verb = text.split(" ")[0]
         if verb not in ("READ", "WRITE", "EXECUTE", "COMMIT"):
-            self.record.sent[statement].told = "done"
+            self.record.sent_statements[statement].result = "done"
             return
         if signature == "-" and verb == "COMMIT":
-            return  # of a transaction without statements
-        run = self.record.answered(statement, self.group, rows, signature,
-                                   self.own_commit)
-        if run and run.id in (entry[1] for entry in
-                              self.group.entries[run.log[1] - 1:run.log[1]]):
-            self.own_commit = (run.log[1], run.id)
-            self.record.acknowledge(self.group, run.log[1], run.id)
-
-
-async def hammer(world, customer, key, until):
-    """One customer sends many times its rate."""
-    caller = Caller(f"loud{customer}-{time.monotonic():.0f}", world, 1)
+            return  # The transaction had no statements.
+        execution = self.record.on_answered(
+            statement, self.group, rows, signature, self.last_own_commit)
+        if execution and execution.statement_id in (
+                entry[1] for entry in self.group.entries[
+                    execution.log_position[1] - 1:execution.log_position[1]]):
+            self.last_own_commit = (execution.log_position[1],
+                                    execution.statement_id)
+            self.record.on_commit_acknowledged(
+                self.group, execution.log_position[1], execution.statement_id)
+
+
+async def send_above_rate(testbed, customer, key, end_time):
+    """Runs sessions of one customer at many times its rate."""
+    caller = Caller(f"loud{customer}-{time.monotonic():.0f}", testbed, 1)
     tasks = []
-    while time.monotonic() < until and not world.stopping:
+    while time.monotonic() < end_time and not testbed.stopping:
         tasks = [task for task in tasks if not task.done()]
         if len(tasks) < 12:
-            tasks.append(asyncio.create_task(_once(caller, customer, key)))
+            tasks.append(asyncio.create_task(
+                _run_one_session(caller, customer, key)))
         await asyncio.sleep(0.02)
     for task in tasks:
         task.cancel()
 
 
-async def _once(parent, customer, key):
+async def _run_one_session(parent, customer, key):
     caller = Caller(f"{parent.name}-{parent.random.getrandbits(40)}",
-                    parent.world, parent.random.random())
-    caller.world = _Only(parent.world, customer, key)
+                    parent.testbed, parent.random.random())
+    caller.testbed = _SingleCustomerTestbed(parent.testbed, customer, key)
     try:
-        await caller.session()
-    except (Lost, OSError, asyncio.IncompleteReadError, asyncio.TimeoutError):
+        await caller.run_session()
+    except (SessionLost, OSError, asyncio.IncompleteReadError,
+            asyncio.TimeoutError):
         caller.record.failed += 1
 
 
-class _Only:
-    """The world with the keys of one customer."""
+class _SingleCustomerTestbed:
+    """A testbed whose callers use the key of one customer only."""
 
-    def __init__(self, world, customer, key):
-        self._world = world
-        self._keys = [(customer, key)]
+    def __init__(self, testbed, customer, key):
+        self._testbed = testbed
+        self._caller_keys = [(customer, key)]
 
-    def keys(self):
-        return self._keys
+    def caller_keys(self):
+        return self._caller_keys
 
     def __getattr__(self, name):
-        return getattr(self._world, name)
+        return getattr(self._testbed, name)
--- a/soak/net.py
+++ b/soak/net.py
@@ -1,11 +1,11 @@
-"""Loopback plumbing of the soak: HTTP calls, a small HTTP server, and a proxy
-that misbehaves on command."""
+"""Network helpers of the soak: HTTP calls, a small HTTP server, and a TCP proxy
+that injects network faults."""
 
 import asyncio
 
 
 async def http_call(host, port, method, path, body="", timeout=1.5):
-    """(status, headers, body); (0, {}, "") when there was no answer."""
+    """Returns (status, headers, body), or (0, {}, "") without an answer."""
     try:
         return await asyncio.wait_for(
             _http_call(host, port, method, path, body), timeout)
@@ -29,7 +29,10 @@
 
 
 async def read_message(reader):
-    """First line, headers in lower case and body of an HTTP message."""
+    """Reads an HTTP message.
+
+    Returns its first line, its headers by lower-case name, and its body.
+    """
     head = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
     headers = {}
     for line in head[1:]:
@@ -39,23 +42,27 @@
     return head[0], headers, (await reader.readexactly(length)).decode()
 
 
-async def serve_http(host, port, handle):
-    """handle(method, path, headers, body) -> (status, body), a coroutine."""
+async def serve_http(host, port, handler):
+    """Serves HTTP with the coroutine handler.
+
+    handler(method, path, headers, body) returns (status, body).
+    """
 
     async def connection(reader, writer):
         try:
             while True:
-                first, headers, body = await read_message(reader)
-                method, path, _ = first.split(" ")
-                status, text = await handle(method, path, headers, body)
-                data = text.encode()
+                request_line, headers, body = await read_message(reader)
+                method, path, _ = request_line.split(" ")
+                status, response_body = await handler(method, path, headers,
+                                                      body)
+                data = response_body.encode()
                 writer.write((f"HTTP/1.1 {status} X\r\n"
                               "Content-Type: application/json\r\n"
                               f"Content-Length: {len(data)}\r\n\r\n"
                               ).encode() + data)
                 await writer.drain()
         except (OSError, asyncio.IncompleteReadError, ValueError):
-            pass  # The peer has left.
+            pass  # The peer closed the connection.
         finally:
             writer.close()
 
@@ -63,58 +70,61 @@
 
 
 class Proxy:
-    """Passes bytes between its listener and a target. Faults hold until they
-    are taken back and act on open connections too."""
+    """Forwards bytes between its listener and a target.
+
+    Faults act on open connections too, until restore() removes them.
+    """
 
     def __init__(self, host, port, target):
         self.address = (host, port)
         self.target = target
         self.delay = 0.0
-        self.lost = set()  # of "in", "out": bytes of that way disappear
-        self.refusing = False
+        self.dropped_directions = set()  # "in", "out": bytes are discarded
+        self.refuses_connections = False
         self._server = None
         self._writers = set()
 
     async def start(self):
         self._server = await asyncio.start_server(
-            self._accept, *self.address)
+            self._serve_connection, *self.address)
 
     def reset(self):
         for writer in list(self._writers):
             writer.transport.abort()
 
-    def heal(self):
-        # Bytes were lost: what is open cannot go on.
-        if self.lost:
+    def restore(self):
+        # Open connections cannot continue after bytes were discarded.
+        if self.dropped_directions:
             self.reset()
         self.delay = 0.0
-        self.lost = set()
-        self.refusing = False
+        self.dropped_directions = set()
+        self.refuses_connections = False
 
     async def close(self):
         self.reset()
         self._server.close()
 
-    async def _accept(self, reader, writer):
-        if self.refusing:
+    async def _serve_connection(self, reader, writer):
+        if self.refuses_connections:
             writer.transport.abort()
             return
         try:
-            back_reader, back = await asyncio.open_connection(*self.target)
+            target_reader, target_writer = await asyncio.open_connection(
+                *self.target)
         except OSError:
             writer.transport.abort()
             return
-        self._writers |= {writer, back}
-        await asyncio.gather(self._pump(reader, back, "in"),
-                             self._pump(back_reader, writer, "out"))
-        self._writers -= {writer, back}
+        self._writers |= {writer, target_writer}
+        await asyncio.gather(self._forward(reader, target_writer, "in"),
+                             self._forward(target_reader, writer, "out"))
+        self._writers -= {writer, target_writer}
 
-    async def _pump(self, reader, writer, way):
+    async def _forward(self, reader, writer, direction):
         try:
             while data := await reader.read(65536):
                 if self.delay:
                     await asyncio.sleep(self.delay)
-                if way in self.lost:
+                if direction in self.dropped_directions:
                     continue
                 writer.write(data)
                 await writer.drain()
--- a/soak/record.py
+++ b/soak/record.py
@@ -1,31 +1,31 @@
-"""What callers sent and were told, what databases ran, and the promises that
-both together must keep."""
+"""Records what callers sent and received and what databases ran, and checks
+both against the guarantees of docs/soak.md."""
 
 import time
 from collections import defaultdict, deque
 
 import wire
 
-# A withdrawn key, or a new one, is in force this long after the configuration
-# was acknowledged, at instances that nothing has disturbed for as long as
-# CALM_SECONDS before.
+# The withdrawal or addition of a key is in force this long after the
+# configuration was acknowledged, at instances that no fault has disturbed for
+# UNDISTURBED_SECONDS before.
 APPLY_SECONDS = 3
-CALM_SECONDS = 7
+UNDISTURBED_SECONDS = 7
 
 
-class Sent:
-    """One statement of a caller."""
+class SentStatement:
+    """One statement that a caller sent, and its result."""
 
-    def __init__(self, operation, text, runs_as):
+    def __init__(self, operation, text, expected_execution):
         self.operation = operation
         self.text = text
-        self.runs_as = runs_as  # (verb, shape, rest), as a database sees it
-        self.told = None  # code, or "done"
-        self.committed = 0  # times that its effect was committed
+        self.expected_execution = expected_execution  # (verb, shape, rest)
+        self.result = None  # error code, "done", or None without an answer
+        self.commit_count = 0  # times that a database committed its effect
 
 
 class Operation:
-    """One attempt of a caller: a statement or a transaction."""
+    """One operation of a caller: a statement or a transaction."""
 
     def __init__(self, caller, customer, key, route, values):
         self.started = time.monotonic()
@@ -34,143 +34,171 @@
         self.key = key
         self.route = route
         self.values = dict(values)
-        self.counted = False
+        self.counted_for_rate = False
 
 
 class Record:
+    """The history of one run and the violations found in it."""
+
     def __init__(self, log):
         self.log = log
         self.violations = []
-        self.sent = {}
-        self.runs = {}  # by signature
-        self.transactions = {}  # (group, number) -> operation
-        self.acknowledged = defaultdict(list)  # group: (time, number, id)
-        self.rates = {}  # customer: highest rate of late
-        self.spent = defaultdict(deque)  # customer: times of operations
-        self.disturbed = defaultdict(float)  # instance: last time
-        self.leaving = set()  # keys whose withdrawal was sent
-        self.withdrawn = {}  # key: when its withdrawal was acknowledged
-        self.added = {}  # key: when it was acknowledged
-        self.done = 0
+        self.sent_statements = {}  # by statement id
+        self.executions = {}  # by signature
+        # (endpoint, connection, transaction): Operation
+        self.transaction_owners = {}
+        # group: (time, number in the log, id)
+        self.acknowledged_commits = defaultdict(list)
+        self.rates = {}  # customer: highest recent rate per second
+        self.operation_times = defaultdict(deque)  # by customer
+        self.last_disturbed = defaultdict(float)  # instance: time of a fault
+        self.withdrawing_keys = set()  # keys whose withdrawal was sent
+        self.withdrawn_at = {}  # key: when its withdrawal was acknowledged
+        self.added_at = {}  # key: when its addition was acknowledged
+        self.completed = 0
         self.refused = 0
         self.failed = 0
 
-    def event(self, text):
+    def log_event(self, text):
         self.log(f"{time.monotonic():.3f} {text}")
 
-    def violation(self, rule, text):
+    def add_violation(self, rule, text):
         self.violations.append(f"{rule}: {text}")
-        self.event(f"VIOLATION {rule}: {text}")
+        self.log_event(f"VIOLATION {rule}: {text}")
 
-    def disturb(self, *instances):
+    def mark_disturbed(self, *instances):
         for instance in instances:
-            self.disturbed[instance] = time.monotonic()
+            self.last_disturbed[instance] = time.monotonic()
 
-    # From databases.
+    # Called by databases.
 
-    def ran(self, run):
-        self.runs[run.signature] = run
-        sent = self.sent.get(run.id)
+    def on_executed(self, execution):
+        self.executions[execution.signature] = execution
+        sent = self.sent_statements.get(execution.statement_id)
         if sent is None:
-            return self.violation("unasked", f"{run.id} {run.text}")
+            return self.add_violation(
+                "unasked", f"{execution.statement_id} {execution.text} ran, but"
+                           " no caller sent it")
         operation = sent.operation
-        if run.text != sent.runs_as:
-            self.violation("changed", f"{run.text} for {sent.runs_as}")
-        if run.customer != operation.customer:
-            self.violation("customer", f"{run.id} as {run.customer}")
-        if run.values != operation.values:
-            self.violation("values", f"{run.id}: {run.values} for "
-                                     f"{operation.values}")
-        if run.transaction:
-            self._check_transaction(run, operation)
-        if not operation.counted:
-            operation.counted = True
-            self._spend(operation.customer, run.started)
-
-    def _check_transaction(self, run, operation):
-        place = (run.endpoint, run.connection, run.transaction)
-        owner = self.transactions.setdefault(place, operation)
+        if execution.text != sent.expected_execution:
+            self.add_violation(
+                "changed", f"{execution.text} ran instead of"
+                           f" {sent.expected_execution}")
+        if execution.customer != operation.customer:
+            self.add_violation(
+                "customer", f"{execution.statement_id} ran for"
+                            f" {execution.customer}")
+        if execution.values != operation.values:
+            self.add_violation(
+                "values", f"{execution.statement_id} ran with"
+                          f" {execution.values} instead of {operation.values}")
+        if execution.transaction:
+            self._check_transaction(execution, operation)
+        if not operation.counted_for_rate:
+            operation.counted_for_rate = True
+            self._check_rate(operation.customer, execution.started)
+
+    def _check_transaction(self, execution, operation):
+        transaction_key = (execution.endpoint, execution.connection,
+                           execution.transaction)
+        owner = self.transaction_owners.setdefault(transaction_key, operation)
         if owner is not operation:
-            self.violation("mixed", f"{run.id} inside another transaction")
-
-    def _spend(self, customer, now):
-        spent = self.spent[customer]
-        spent.append(now)
-        while spent[0] < now - wire.QUOTA_WINDOW_SECONDS:
-            spent.popleft()
-        allowed = wire.max_operations_per_window(self.rates[customer])
-        if len(spent) > allowed:
-            self.violation("rate", f"{customer}: {len(spent)} operations in "
-                                   f"{wire.QUOTA_WINDOW_SECONDS} s of "
-                                   f"{allowed:.0f}")
-
-    def committed(self, group, commit, writes):
+            self.add_violation(
+                "mixed", f"{execution.statement_id} ran inside the transaction"
+                         " of another operation")
+
+    def _check_rate(self, customer, now):
+        times = self.operation_times[customer]
+        times.append(now)
+        while times[0] < now - wire.QUOTA_WINDOW_SECONDS:
+            times.popleft()
+        limit = wire.max_operations_per_window(self.rates[customer])
+        if len(times) > limit:
+            self.add_violation(
+                "rate", f"{customer}: {len(times)} operations in"
+                        f" {wire.QUOTA_WINDOW_SECONDS} s; the limit is"
+                        f" {limit:.0f}")
+
+    def on_committed(self, group, commit, writes):
         for write in writes:
-            sent = self.sent.get(write)
+            sent = self.sent_statements.get(write)
             if sent is None:
-                continue  # Told by ran().
-            sent.committed += 1
-            if sent.committed > 1:
-                self.violation("twice", write)
-            if sent.told in wire.NOT_RUN:
-                self.violation("refused", f"{write} was told {sent.told}")
-        sent = self.sent.get(commit)
-        if sent is not None and sent.told is not None:
-            self.event(f"{group.name}: {commit} committed late")
-
-    # From callers.
-
-    def told(self, statement, code, group):
-        sent = self.sent[statement]
-        sent.told = code
-        if code in wire.NOT_RUN and sent.committed and (
+                continue  # on_executed() reports it.
+            sent.commit_count += 1
+            if sent.commit_count > 1:
+                self.add_violation("twice", f"{write} was committed again")
+            if sent.result in wire.NOT_RUN:
+                self.add_violation(
+                    "refused", f"{write} was committed after {sent.result}")
+        sent = self.sent_statements.get(commit)
+        if sent is not None and sent.result is not None:
+            self.log_event(f"{group.name}: {commit} committed after its answer")
+
+    # Called by callers.
+
+    def on_error(self, statement, code, group):
+        sent = self.sent_statements[statement]
+        sent.result = code
+        if code in wire.NOT_RUN and sent.commit_count and (
                 statement not in group.rolled_back):
-            self.violation("refused", f"{statement} was told {code}, and kept")
-
-    def answered(self, statement, group, rows, signature, own_commit):
-        """A read, write or commit was done. Returns the run."""
-        sent = self.sent[statement]
-        sent.told = "done"
-        run = self.runs.get(signature)
-        if run is None or run.id != statement:
-            return self.violation("mixed", f"{statement} answered {signature}")
-        expected = [] if run.text[0] in ("WRITE", "COMMIT") else (
+            self.add_violation(
+                "refused", f"{statement} was answered {code}, but is committed")
+
+    def on_answered(self, statement, group, rows, signature, own_commit):
+        """Checks a successful read, write or commit; returns its execution."""
+        sent = self.sent_statements[statement]
+        sent.result = "done"
+        execution = self.executions.get(signature)
+        if execution is None or execution.statement_id != statement:
+            return self.add_violation(
+                "mixed", f"{statement} got the answer {signature}")
+        expected = [] if execution.text[0] in ("WRITE", "COMMIT") else (
             [f"row-{statement}"])
-        if sent.runs_as[0] == "EXECUTE":
+        if sent.expected_execution[0] == "EXECUTE":
             expected = rows
         if rows != expected:
-            self.violation("mixed", f"{statement} answered {rows}")
-        self._check_age(sent.operation, run, group, own_commit)
-        return run
-
-    def _check_age(self, operation, run, group, own_commit):
-        kind, staleness = operation.route[1], operation.route[2]
-        bound = operation.started - (staleness or 0) / 1000
-        needed = [number for at, number, commit
-                  in self.acknowledged[group.name]
-                  if at < bound and commit not in group.rolled_back]
+            self.add_violation("mixed", f"{statement} got the rows {rows}")
+        self._check_freshness(sent.operation, execution, group, own_commit)
+        return execution
+
+    def _check_freshness(self, operation, execution, group, own_commit):
+        kind, max_staleness_ms = operation.route[1], operation.route[2]
+        bound = operation.started - (max_staleness_ms or 0) / 1000
+        needed = [number for acknowledged_at, number, commit
+                  in self.acknowledged_commits[group.name]
+                  if acknowledged_at < bound
+                  and commit not in group.rolled_back]
         if kind == "read_your_writes" and own_commit and (
                 own_commit[1] not in group.rolled_back):
             needed.append(own_commit[0])
-        if needed and run.log[1] < max(needed):
-            self.violation(
-                "stale", f"{run.id} {kind} at {run.endpoint} ran on"
-                         f" {run.log[1]}, needs {max(needed)}")
+        if needed and execution.log_position[1] < max(needed):
+            self.add_violation(
+                "stale", f"{execution.statement_id} {kind} at"
+                         f" {execution.endpoint} ran at position"
+                         f" {execution.log_position[1]}, needs {max(needed)}")
 
-    def acknowledge(self, group, number, commit):
-        self.acknowledged[group.name].append((time.monotonic(), number, commit))
+    def on_commit_acknowledged(self, group, number, commit):
+        self.acknowledged_commits[group.name].append(
+            (time.monotonic(), number, commit))
 
-    def calm(self, instances):
-        limit = time.monotonic() - CALM_SECONDS
-        return all(self.disturbed[instance] < limit for instance in instances)
+    def is_undisturbed(self, instances):
+        limit = time.monotonic() - UNDISTURBED_SECONDS
+        return all(self.last_disturbed[instance] < limit
+                   for instance in instances)
 
     def check_key(self, operation, code, instances):
-        """A first statement was answered; instances had a part in it."""
-        if not self.calm(instances):
+        """Checks an answer against the changes of the operation's key.
+
+        instances: those on which the answer depends.
+        """
+        if not self.is_undisturbed(instances):
             return
         late = operation.started - APPLY_SECONDS
-        if code != "NOAUTH" and self.withdrawn.get(operation.key, late) < late:
-            self.violation("withdrawn", f"{operation.key} was answered {code}")
-        if code == "NOAUTH" and self.added.get(operation.key, late) < late and (
-                operation.key not in self.leaving):
-            self.violation("key", f"{operation.key} is refused")
+        if code != "NOAUTH" and (
+                self.withdrawn_at.get(operation.key, late) < late):
+            self.add_violation(
+                "withdrawn", f"{operation.key} was answered {code}")
+        if code == "NOAUTH" and (
+                self.added_at.get(operation.key, late) < late) and (
+                    operation.key not in self.withdrawing_keys):
+            self.add_violation("key", f"valid {operation.key} was refused")
--- a/soak/soak.py
+++ b/soak/soak.py
@@ -2,10 +2,11 @@
 """Randomized fault soak of `goldcrestd entry` and `goldcrestd controller`.
 
 Runs the daemons as processes on loopback addresses between stand-in callers and
-databases, injects faults from outside, and checks the promises of docs/soak.md
-all the while. Every choice comes from the seed; timing does not.
+databases, injects faults from outside, and continuously checks the guarantees
+of docs/soak.md. Every random choice comes from the seed; timing does not.
 
-    soak/soak.py --daemon PATH [--seeds 1-50] [--seconds 20] [--keep FOLDER]
+    python3 soak/soak.py --daemon PATH [--seeds 1-50] [--seconds 20]
+                         [--keep FOLDER]
 """
 
 import argparse
@@ -22,116 +23,125 @@
                              "tests")]
 import wire  # noqa: E402
 from callers import Caller  # noqa: E402
-from databases import Connection, Database, Group, beat  # noqa: E402
+from databases import Connection, Database, Group, send_heartbeats  # noqa: E402
 from faults import Faults  # noqa: E402
 from instances import PORTS, Instance  # noqa: E402
 from net import Proxy, http_call, serve_http  # noqa: E402
-from operator_calls import RATE, Operator  # noqa: E402
+from operator_calls import CUSTOMER_RATE, Operator  # noqa: E402
 from record import Record  # noqa: E402
 
-INSTANCES = 5
-CONTROLLERS = 3
-CALLERS = 24
-START_SECONDS = 15
-# After the last fault everything is served again within this time.
+INSTANCE_COUNT = 5
+CONTROLLER_COUNT = 3
+CALLER_COUNT = 24
+START_TIMEOUT_SECONDS = 15
+# The fleet must serve operations again within this time after the last fault.
 RECOVERY_SECONDS = 12
-CALM_SECONDS = 4
-SERVED_SHARE = 0.8
+# After the recovery, at least this share of the operations must complete.
+MEASUREMENT_SECONDS = 4
+MIN_COMPLETED_RATIO = 0.8
 
 
-class World:
+class Testbed:
+    """The daemons and all simulated parties of one seed."""
+
     def __init__(self, seed, daemon, folder, log):
         self.record = Record(log)
         self.folder = folder
         self.stopping = False
-        self.wiping = False
+        self.wipe_in_progress = False
         self.control_port = PORTS["control"]
-        # Addresses of their own, so that another run may go on beside.
-        net = f"127.{os.getpid() % 100 + 20}.{seed % 250}"
-        self.hosts = [f"{net}.{n + 1}" for n in range(100)]
-        self.api = (self.hosts[60], 7000)
-        self.seeds = [f"{self.hosts[n]}:{self.control_port}"
-                      for n in range(CONTROLLERS)]
+        # Each run has its own addresses, so that several can run in parallel.
+        host_prefix = f"127.{os.getpid() % 100 + 20}.{seed % 250}"
+        self.hosts = [f"{host_prefix}.{n + 1}" for n in range(100)]
+        self.platform_address = (self.hosts[60], 7000)
+        self.seed_nodes = [f"{self.hosts[n]}:{self.control_port}"
+                           for n in range(CONTROLLER_COUNT)]
         self.instances = [
-            Instance(n, daemon, folder, self.hosts[n], self.seeds,
-                     "%s:%d" % self.api, n < CONTROLLERS)
-            for n in range(INSTANCES)]
+            Instance(n, daemon, folder, self.hosts[n], self.seed_nodes,
+                     "%s:%d" % self.platform_address, n < CONTROLLER_COUNT)
+            for n in range(INSTANCE_COUNT)]
         self.entries = self.instances
-        self.controllers = self.instances[:CONTROLLERS]
+        self.controllers = self.instances[:CONTROLLER_COUNT]
         self.controller_names = [c.name for c in self.controllers]
         self.groups = {name: Group(name, self.record, f"{seed}{name}")
                        for name in ("alpha", "beta")}
-        self.routes = [(f"{kind[0]}{group}", kind, stale, group)
+        self.routes = [(f"{kind[0]}{group}", kind, max_staleness_ms, group)
                        for group in self.groups
-                       for kind, stale in (("primary", None),
+                       for kind, max_staleness_ms in (("primary", None),
                                            ("bounded_staleness", 1500),
                                            ("read_your_writes", 2500))]
         self.operator = Operator(self, seed)
         self.proxies = []
-        for name in self.operator.key_of:
-            self.record.rates[name] = RATE
+        for name in self.operator.current_keys:
+            self.record.rates[name] = CUSTOMER_RATE
 
-    def keys(self):
-        known = list(self.operator.key_of.items())
-        gone = list(self.record.withdrawn)[-1:]
-        return known * 8 + [(f"customer{key[4]}", key) for key in gone]
+    def caller_keys(self):
+        """Returns (customer, key) pairs; the last withdrawn key is rarer."""
+        current_keys = list(self.operator.current_keys.items())
+        last_withdrawn = list(self.record.withdrawn_at)[-1:]
+        return current_keys * 8 + [(f"customer{key[4]}", key)
+                                   for key in last_withdrawn]
 
     async def start(self):
-        free = iter(self.hosts[10:60])
+        free_hosts = iter(self.hosts[10:60])
         for group in self.groups.values():
             for number in range(3):
-                listen, shown = (next(free), 7300), (next(free), 7300)
+                listen_address, proxy_address = (
+                    (next(free_hosts), 7300), (next(free_hosts), 7300))
                 database = Database(group, f"{group.name}-{number}",
-                                    "zone-" + "abc"[number], listen, shown)
+                                    "zone-" + "abc"[number], listen_address,
+                                    proxy_address)
                 group.databases.append(database)
                 await asyncio.start_server(
                     lambda r, w, d=database: Connection(d, r, w).serve(),
-                    *listen)
-                await self.add_proxy(shown, listen)
+                    *listen_address)
+                await self.add_proxy(proxy_address, listen_address)
             group.primary = group.databases[0]
         for instance in self.instances:
-            instance.proxy = (next(free), PORTS["callers"])
+            instance.proxy = (next(free_hosts), PORTS["callers"])
             await self.add_proxy(instance.proxy,
                                  (instance.host, PORTS["callers"]))
-        await serve_http(*self.api, self.on_platform_call)
+        await serve_http(*self.platform_address, self.handle_platform_call)
         for instance in self.instances:
             for process in instance.processes():
                 process.start()
         addresses = [(c.host, self.control_port) for c in self.controllers]
         self.background = [asyncio.create_task(g.replicate())
                            for g in self.groups.values()]
-        self.background += [asyncio.create_task(beat(d, addresses))
+        self.background += [asyncio.create_task(send_heartbeats(d, addresses))
                             for g in self.groups.values()
                             for d in g.databases]
         self.background.append(asyncio.create_task(self.watch_processes()))
 
-    async def add_proxy(self, shown, target):
-        proxy = Proxy(*shown, target)
+    async def add_proxy(self, proxy_address, target):
+        proxy = Proxy(*proxy_address, target)
         await proxy.start()
         self.proxies.append(proxy)
 
-    async def on_platform_call(self, method, path, headers, body):
+    async def handle_platform_call(self, method, path, headers, body):
         if (method, path) != ("POST", wire.PROMOTION_PATH):
             return 404, ""
         group, endpoint = wire.decode_promotion(body)
-        fence = int(headers[wire.FENCING_HEADER])
-        status = await self.groups[group].promote(endpoint, fence)
-        self.record.event(f"order {fence}: {endpoint}, {status}")
+        fencing_token = int(headers[wire.FENCING_HEADER])
+        status = await self.groups[group].promote(endpoint, fencing_token)
+        self.record.log_event(
+            f"promotion order {fencing_token}: {endpoint}, {status}")
         return status, "{}"
 
     async def watch_processes(self):
+        """Reports and restarts daemons that exit without being stopped."""
         while not self.stopping:
             for instance in self.instances:
                 for process in instance.processes():
-                    if process.wanted and not process.running():
-                        self.record.violation(
-                            "exit", f"{instance.name}/{process.role} ended with"
-                                    f" {process.child.returncode}")
+                    if process.should_run and not process.is_running():
+                        self.record.add_violation(
+                            "exit", f"{instance.name}/{process.role} exited"
+                                    f" with {process.child.returncode}")
                         process.start()
             await asyncio.sleep(0.2)
 
-    async def ready(self):
-        for _ in range(START_SECONDS * 10):
+    async def wait_until_ready(self):
+        for _ in range(START_TIMEOUT_SECONDS * 10):
             states = await asyncio.gather(*(
                 http_call(i.host, PORTS["ready"], "GET", wire.READINESS_PATH)
                 for i in self.instances))
@@ -144,53 +154,59 @@
         self.stopping = True
         for instance in self.instances:
             for process in instance.processes():
-                await process.end(seconds=0)
+                await process.stop(timeout_seconds=0)
 
 
 def on_loop_error(loop, context):
-    # Connections that are open at the end are cancelled with their tasks.
+    # Tasks of connections that are still open at the end are cancelled.
     if not isinstance(context.get("exception"), asyncio.CancelledError):
         loop.default_exception_handler(context)
 
 
-async def play(seed, seconds, daemon, folder, log):
-    """The record of one seed."""
+async def run_seed(seed, seconds, daemon, folder, log):
+    """Runs one seed and returns its record."""
     asyncio.get_running_loop().set_exception_handler(on_loop_error)
-    world = World(seed, daemon, folder, log)
-    record = world.record
+    testbed = Testbed(seed, daemon, folder, log)
+    record = testbed.record
     callers = []
     try:
-        await world.start()
-        await world.operator.change_keys()
-        if not await world.ready():
-            record.violation("start", "not all entries became ready")
+        await testbed.start()
+        await testbed.operator.change_keys()
+        if not await testbed.wait_until_ready():
+            record.add_violation("start", "not all entries became ready")
             return record
         callers = [asyncio.create_task(
-            Caller(f"c{n}", world, f"{seed}-{n}").run())
-            for n in range(CALLERS)]
-        watch = asyncio.create_task(world.operator.watch())
-        until = time.monotonic() + seconds
-        await Faults(world, random.Random(seed)).run(until)
-        record.event("last fault is over")
+            Caller(f"c{n}", testbed, f"{seed}-{n}").run())
+            for n in range(CALLER_COUNT)]
+        configuration_poll = asyncio.create_task(
+            testbed.operator.poll_configuration())
+        end_time = time.monotonic() + seconds
+        await Faults(testbed, random.Random(seed)).run(end_time)
+        record.log_event("the last fault has ended")
         await asyncio.sleep(RECOVERY_SECONDS)
-        done, lost = record.done, record.failed + record.refused
-        await asyncio.sleep(CALM_SECONDS)
-        done = record.done - done
-        lost = record.failed + record.refused - lost
-        if done < SERVED_SHARE * (done + lost) or done == 0:
-            record.violation("recovery", f"{done} done, {lost} not, in"
-                                         f" {CALM_SECONDS} s")
-        if not await world.operator.read() and not (
-                await world.operator.read()):
-            record.violation("configuration", "can't be read back")
-        watch.cancel()
+        completed, not_completed = (
+            record.completed, record.failed + record.refused)
+        await asyncio.sleep(MEASUREMENT_SECONDS)
+        completed = record.completed - completed
+        not_completed = record.failed + record.refused - not_completed
+        if (completed < MIN_COMPLETED_RATIO * (completed + not_completed)
+                or completed == 0):
+            record.add_violation(
+                "recovery", f"{completed} operations completed and"
+                            f" {not_completed} did not in"
+                            f" {MEASUREMENT_SECONDS} s")
+        if not await testbed.operator.check_configuration() and not (
+                await testbed.operator.check_configuration()):
+            record.add_violation("configuration",
+                                 "no controller returned the configuration")
+        configuration_poll.cancel()
         for task in callers:
             if task.done():
-                task.result()  # raises what a caller did not expect
+                task.result()  # Raises an unexpected exception of the caller.
         return record
     finally:
-        await world.stop()
-        # wait_for() may lose a cancellation that meets the end of its wait.
+        await testbed.stop()
+        # wait_for() may drop a cancellation that arrives as its wait ends.
         others = asyncio.all_tasks() - {asyncio.current_task()}
         while others:
             for task in others:
@@ -198,7 +214,7 @@
             _, others = await asyncio.wait(others, timeout=1)
 
 
-def numbers(text):
+def parse_seed_range(text):
     first, _, last = text.partition("-")
     return range(int(first), int(last or first) + 1)
 
@@ -206,20 +222,21 @@
 def main():
     parser = argparse.ArgumentParser()
     parser.add_argument("--daemon", required=True)
-    parser.add_argument("--seeds", type=numbers, default=numbers("1"))
+    parser.add_argument("--seeds", type=parse_seed_range,
+                        default=parse_seed_range("1"))
     parser.add_argument("--seconds", type=float, default=20,
-                        help="time in which faults begin")
+                        help="duration in which faults are started")
     parser.add_argument("--keep", help="folder for the logs of failed seeds")
     options = parser.parse_args()
     failed = 0
     for seed in options.seeds:
         folder = tempfile.mkdtemp(prefix="goldcrest-soak-")
         with open(f"{folder}/events", "w") as events:
-            record = asyncio.run(play(
+            record = asyncio.run(run_seed(
                 seed, options.seconds, os.path.abspath(options.daemon), folder,
                 lambda line, file=events: print(line, file=file)))
         print(f"seed {seed}: {'FAILED' if record.violations else 'passed'},"
-              f" {record.done} operations, {record.refused} refused,"
+              f" {record.completed} operations, {record.refused} refused,"
               f" {record.failed} failed", flush=True)
         for violation in record.violations[:10]:
             print(f"  {violation}", flush=True)
--- a/soak/tests/record_test.py
+++ b/soak/tests/record_test.py
@@ -1,4 +1,4 @@
-"""Guards against a soak that passes because its checks see nothing."""
+"""Guards against a soak that passes because a check misses its violation."""
 
 import os
 import sys
@@ -9,8 +9,8 @@
                 os.path.join(os.path.dirname(__file__), "..", "..",
                              "platform", "tests")]
 import wire  # noqa: E402
-from databases import Run  # noqa: E402
-from record import Operation, Record, Sent  # noqa: E402
+from databases import Execution  # noqa: E402
+from record import Operation, Record, SentStatement  # noqa: E402
 
 
 class Group:
@@ -29,116 +29,119 @@
     def send(self, statement, text=("WRITE", None, "1 data"), values=(),
              route=("a", "read_your_writes", 2500, "alpha")):
         operation = Operation("c", "customer0", "key", route, dict(values))
-        self.record.sent[statement] = Sent(operation, "", text)
+        self.record.sent_statements[statement] = SentStatement(operation, "",
+                                                               text)
         return operation
 
-    def run_one(self, statement, text=("WRITE", None, "1 data"),
-                customer="customer0", log=(1, 1), connection=1,
+    def execute(self, statement, text=("WRITE", None, "1 data"),
+                customer="customer0", log_position=(1, 1), connection=1,
                 transaction=0):
-        run = Run(statement, text, customer, "alpha-0", connection)
-        run.log, run.signature = log, f"s-{statement}"
-        run.transaction = transaction
-        self.record.ran(run)
+        execution = Execution(statement, text, customer, "alpha-0", connection)
+        execution.log_position, execution.signature = (
+            log_position, f"s-{statement}")
+        execution.transaction = transaction
+        self.record.on_executed(execution)
 
-    def rules(self):
+    def violated_rules(self):
         return [text.split(":")[0] for text in self.record.violations]
 
-    def test_a_kept_promise_is_no_violation(self):
+    def test_a_correct_write_is_no_violation(self):
         self.send("a")
-        self.run_one("a")
-        self.record.committed(self.group, "a", ["a"])
-        self.record.answered("a", self.group, [], "s-a", None)
-        self.assertEqual(self.rules(), [])
+        self.execute("a")
+        self.record.on_committed(self.group, "a", ["a"])
+        self.record.on_answered("a", self.group, [], "s-a", None)
+        self.assertEqual(self.violated_rules(), [])
 
-    def test_a_statement_that_nobody_sent(self):
-        self.run_one("a")
-        self.assertEqual(self.rules(), ["unasked"])
+    def test_a_statement_that_no_caller_sent(self):
+        self.execute("a")
+        self.assertEqual(self.violated_rules(), ["unasked"])
 
-    def test_a_changed_statement_another_customer_and_other_values(self):
+    def test_a_statement_with_another_text_customer_and_values(self):
         self.send("a", values={"mode": "1"})
-        self.run_one("a", text=("WRITE", None, "2 data"), customer="other")
-        self.assertEqual(self.rules(), ["changed", "customer", "values"])
+        self.execute("a", text=("WRITE", None, "2 data"), customer="other")
+        self.assertEqual(self.violated_rules(),
+                         ["changed", "customer", "values"])
 
-    def test_a_statement_inside_another_transaction(self):
+    def test_a_statement_inside_the_transaction_of_another_operation(self):
         self.send("a")
         self.send("b")
-        self.run_one("a", transaction=7)
-        self.run_one("b", transaction=7)
-        self.assertEqual(self.rules(), ["mixed"])
+        self.execute("a", transaction=7)
+        self.execute("b", transaction=7)
+        self.assertEqual(self.violated_rules(), ["mixed"])
 
     def test_a_write_that_takes_effect_twice(self):
         self.send("a")
-        self.record.committed(self.group, "a", ["a"])
-        self.record.committed(self.group, "a", ["a"])
-        self.assertEqual(self.rules(), ["twice"])
+        self.record.on_committed(self.group, "a", ["a"])
+        self.record.on_committed(self.group, "a", ["a"])
+        self.assertEqual(self.violated_rules(), ["twice"])
 
-    def test_a_write_that_was_refused_and_kept(self):
+    def test_a_refused_write_that_is_committed(self):
         self.send("a")
-        self.record.committed(self.group, "a", ["a"])
-        self.record.told("a", "BUSY", self.group)
+        self.record.on_committed(self.group, "a", ["a"])
+        self.record.on_error("a", "BUSY", self.group)
         self.send("b")
-        self.record.told("b", "ABORTED", self.group)
-        self.record.committed(self.group, "b", ["b"])
-        self.assertEqual(self.rules(), ["refused", "refused"])
+        self.record.on_error("b", "ABORTED", self.group)
+        self.record.on_committed(self.group, "b", ["b"])
+        self.assertEqual(self.violated_rules(), ["refused", "refused"])
 
-    def test_an_answer_of_another_statement(self):
+    def test_an_answer_to_another_statement(self):
         self.send("a")
         self.send("b")
-        self.run_one("b")
-        self.record.answered("a", self.group, [], "s-b", None)
-        self.assertEqual(self.rules(), ["mixed"])
+        self.execute("b")
+        self.record.on_answered("a", self.group, [], "s-b", None)
+        self.assertEqual(self.violated_rules(), ["mixed"])
 
-    def test_a_read_without_the_own_commit(self):
+    def test_a_read_that_misses_its_sessions_own_commit(self):
         self.send("a", text=("READ", None, "1"))
-        self.run_one("a", text=("READ", None, "1"), log=(1, 4))
-        self.record.answered("a", self.group, ["row-a"], "s-a", (5, "w"))
-        self.assertEqual(self.rules(), ["stale"])
+        self.execute("a", text=("READ", None, "1"), log_position=(1, 4))
+        self.record.on_answered("a", self.group, ["row-a"], "s-a", (5, "w"))
+        self.assertEqual(self.violated_rules(), ["stale"])
 
-    def test_a_read_of_a_primary_route_without_an_earlier_commit(self):
-        self.record.acknowledge(self.group, 5, "w")
+    def test_a_primary_read_that_misses_an_acknowledged_commit(self):
+        self.record.on_commit_acknowledged(self.group, 5, "w")
         time.sleep(0.001)
         self.send("a", text=("READ", None, "1"),
                   route=("p", "primary", None, "alpha"))
-        self.run_one("a", text=("READ", None, "1"), log=(1, 4))
-        self.record.answered("a", self.group, ["row-a"], "s-a", None)
-        self.assertEqual(self.rules(), ["stale"])
+        self.execute("a", text=("READ", None, "1"), log_position=(1, 4))
+        self.record.on_answered("a", self.group, ["row-a"], "s-a", None)
+        self.assertEqual(self.violated_rules(), ["stale"])
 
-    def test_a_commit_that_was_rolled_back_is_not_missed(self):
+    def test_a_read_need_not_see_a_rolled_back_commit(self):
         self.group.rolled_back.add("w")
         self.send("a", text=("READ", None, "1"))
-        self.run_one("a", text=("READ", None, "1"), log=(1, 4))
-        self.record.answered("a", self.group, ["row-a"], "s-a", (5, "w"))
-        self.assertEqual(self.rules(), [])
+        self.execute("a", text=("READ", None, "1"), log_position=(1, 4))
+        self.record.on_answered("a", self.group, ["row-a"], "s-a", (5, "w"))
+        self.assertEqual(self.violated_rules(), [])
 
-    def test_more_operations_than_the_rate_allows(self):
+    def test_a_customer_above_its_rate(self):
         for number in range(int(wire.max_operations_per_window(1)) + 1):
             self.send(f"a{number}")
-            self.run_one(f"a{number}")
-        self.assertEqual(self.rules(), ["rate"])
+            self.execute(f"a{number}")
+        self.assertEqual(self.violated_rules(), ["rate"])
 
-    def test_a_withdrawn_key_that_is_served_long_after(self):
+    def test_a_withdrawn_key_that_is_still_accepted(self):
         operation = self.send("a")
-        self.record.withdrawn["key"] = time.monotonic() - 60
+        self.record.withdrawn_at["key"] = time.monotonic() - 60
         self.record.check_key(operation, "done", ["i0"])
         self.record.check_key(operation, "NOAUTH", ["i0"])
-        self.assertEqual(self.rules(), ["withdrawn"])
+        self.assertEqual(self.violated_rules(), ["withdrawn"])
 
-    def test_a_new_key_that_is_refused_long_after(self):
+    def test_a_new_key_that_is_still_refused(self):
         operation = self.send("a")
-        self.record.added["key"] = time.monotonic() - 60
+        self.record.added_at["key"] = time.monotonic() - 60
         self.record.check_key(operation, "NOAUTH", ["i0"])
-        self.assertEqual(self.rules(), ["key"])
-        # Its withdrawal was sent, and may be in force before the answer.
-        self.record.leaving.add("key")
+        self.assertEqual(self.violated_rules(), ["key"])
+        # A withdrawal may be in force before it is acknowledged.
+        self.record.withdrawing_keys.add("key")
         self.record.check_key(operation, "NOAUTH", ["i0"])
-        self.assertEqual(self.rules(), ["key"])
+        self.assertEqual(self.violated_rules(), ["key"])
 
-    def test_a_disturbed_instance_may_be_late(self):
+    def test_a_disturbed_instance_may_apply_changes_late(self):
         operation = self.send("a")
-        self.record.withdrawn["key"] = time.monotonic() - 60
-        self.record.disturb("i0")
+        self.record.withdrawn_at["key"] = time.monotonic() - 60
+        self.record.mark_disturbed("i0")
         self.record.check_key(operation, "done", ["i0"])
-        self.assertEqual(self.rules(), [])
+        self.assertEqual(self.violated_rules(), [])
 
 
 if __name__ == "__main__":
