--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -1,4 +1,5 @@
-# Functions that start and use a fleet on loopback. Expects: build, work, pids.
+# Functions that start and use a fleet on loopback. The sourcing script sets
+# build (build folder), work (scratch folder) and pids (processes to stop).
 # shellcheck shell=bash disable=SC2154
 
 base_port=${GOLDCREST_BASE_PORT:-$((20000 + RANDOM % 20000))}
@@ -61,13 +62,13 @@
   pids+=($!)
 }
 
-# Waits until the command succeeds, 30 s at most.
+# wait_for DESCRIPTION COMMAND...: waits up to 30 s for the command to succeed.
 wait_for() {
-  local what=$1 deadline=$((SECONDS + 30))
+  local description=$1 deadline=$((SECONDS + 30))
   shift
   until "$@" >/dev/null 2>&1; do
     if ((SECONDS > deadline)); then
-      echo "timed out: $what" >&2
+      echo "timed out: $description" >&2
       return 1
     fi
     sleep 0.1
@@ -124,7 +125,8 @@
   wait "${endpoint_pid[$name]}" 2>/dev/null || true
 }
 
-# request ENTRY CALLER BODY: sends it with the caller's session token.
+# request ENTRY CALLER BODY: sends the body with the key and the session token
+# of the caller, and keeps the new token.
 request() {
   local i=$1 caller=$2 body=$3 headers=$work/headers
   printf '%s via e%s: %s\n' "$caller" "$i" "$body"
