--- a/adapters/include/goldcrest/adapters/http_message.h
+++ b/adapters/include/goldcrest/adapters/http_message.h
@@ -21,14 +21,14 @@
 //! empty when it is absent.
 std::string QueryParameter(std::string_view query, std::string_view name);
 
-//! A whole request, as it arrived.
+//! A complete request, as received.
 struct HttpRequest {
   std::string method;
   std::string path;   //!< Without the query, not decoded.
   std::string query;  //!< After the "?", not decoded.
   HttpHeaders headers;
   std::string body;
-  std::uint64_t connection = 0;  //!< Unique within the server's life.
+  std::uint64_t connection = 0;  //!< Unique within one HttpServer.
   std::string peer_address;      //!< IP number of the client.
 
   std::string_view Header(std::string_view name) const {
@@ -41,14 +41,14 @@
   HttpHeaders headers;
   std::string body;
   std::string content_type = "application/json";
-  bool close = false;  //!< Close the connection after this answer.
+  bool close = false;  //!< Close the connection after this response.
 };
 
 //! {"result":{"code":..,"name":..,"outcome":..,"message":..}}. An empty
-//! `message` stands for the meaning listed with the code.
+//! `message` is replaced by the meaning listed with the code.
 std::string ResultBody(ResultCode code, std::string_view message = {});
 
-//! An answer with the code's HTTP status and ResultBody().
+//! A response with the code's HTTP status and ResultBody().
 HttpResponse ResultResponse(ResultCode code, std::string_view message = {});
 
 }  // namespace goldcrest::adapters
--- a/adapters/include/goldcrest/adapters/http_server.h
+++ b/adapters/include/goldcrest/adapters/http_server.h
@@ -28,26 +28,26 @@
   std::chrono::milliseconds body_timeout{10'000};
   //! Between requests.
   std::chrono::milliseconds idle_timeout{60'000};
-  //! For writing an answer to the client.
+  //! For writing a response to the client.
   std::chrono::milliseconds write_timeout{10'000};
   //! How long a connection must have been idle to be closed in a drain.
   std::chrono::milliseconds drain_idle{500};
 };
 
 //! HTTP/1.1 server with keep-alive. Requests of one connection are handled one
-//! after another and answered in that order. Safe from any thread.
+//! after another, with responses in that order. Safe from any thread.
 class HttpServer {
  public:
-  //! Sends the answer. May be called from any thread, after the handler has
+  //! Sends the response. May be called from any thread, after the handler has
   //! returned, and after the client has gone; calls after the first have no
-  //! effect. When every copy is destroyed without a call, the answer is
+  //! effect. When every copy is destroyed without a call, the response is
   //! kOutcomeUnknown. Must not outlive the io_context.
   using Respond = std::function<void(HttpResponse)>;
   //! Runs on a worker thread; must not block.
   using Handler = std::function<void(HttpRequest, Respond)>;
   //! Called once for each connection that ends: when it is closed or, before
   //! that, when the client stops sending. A client that has only stopped
-  //! sending still gets its answer.
+  //! sending still gets its response.
   using DisconnectHook = std::function<void(std::uint64_t connection)>;
 
   //! Throws std::system_error when the address can't be bound.
@@ -69,7 +69,7 @@
   //! Closes the listener. Connections that have been accepted continue.
   void StopAccepting();
 
-  //! From now on answers carry "Connection: close", and idle connections are
+  //! From now on responses carry "Connection: close", and idle connections are
   //! closed after `drain_idle`.
   void BeginDrain();
 
@@ -78,7 +78,7 @@
 
   std::size_t OpenConnections() const;
 
-  //! Requests whose first byte has arrived and whose answer has not been
+  //! Requests whose first byte has arrived and whose response has not been
   //! written.
   std::size_t RequestsInFlight() const;
 
--- a/adapters/internal/http_connection.h
+++ b/adapters/internal/http_connection.h
@@ -21,9 +21,9 @@
   HttpServer::Handler handler;
   HttpServer::DisconnectHook on_disconnect;
   //! Removes a connection from the server's table.
-  std::function<void(std::uint64_t connection)> forget;
+  std::function<void(std::uint64_t connection)> remove_connection;
   std::atomic<bool> draining = false;
-  std::atomic<std::size_t> in_flight = 0;
+  std::atomic<std::size_t> requests_in_flight = 0;
 };
 
 //! One accepted connection. All members run on the socket's strand, except
@@ -36,7 +36,8 @@
 
   // From any thread.
   void Start();
-  //! Answers with `code` without reading a request, then closes.
+  //! Sends an error response with `code` without reading a request, then
+  //! closes.
   void Refuse(ResultCode code);
   void BeginDrain();
   void Abort();
@@ -44,10 +45,10 @@
  private:
   enum class State {
     kIdle,      // No byte of the next request has arrived.
-    kReading,   // A request has arrived in part.
-    kHandling,  // The handler has the request.
+    kReading,   // Part of a request has arrived.
+    kHandling,  // The handler is processing the request.
     kWriting,
-    kLingering,  // The answer is written; the client's bytes are discarded.
+    kLingering,  // The response is written; received bytes are discarded.
     kClosed,
   };
   using Parser =
@@ -55,14 +56,17 @@
   class Responder;
 
   void BeginRequest();
-  void Wait();
+  void WaitForReadable();
   void OnReadable();
-  void Parse();
+  void ParseRequest();
   void SendContinue();
-  void Dispatch();
-  void Answer(std::uint64_t request, HttpResponse response);
+  void DispatchRequest();
+  //! Writes the response to request `request_number`; ignored when that
+  //! request has already ended.
+  void OnResponse(std::uint64_t request_number, HttpResponse response);
+  //! Sends an error response, then closes.
   void Reject(ResultCode code, std::string_view message);
-  void Write(HttpResponse response);
+  void WriteResponse(HttpResponse response);
   void OnWritten(error_code error);
   void Continue();
   void Linger();
@@ -72,7 +76,7 @@
   void OnDeadline();
   void ReportDisconnect();
   void EndRequest();
-  void Shut();
+  void Close();
 
   const std::uint64_t id_;
   Socket socket_;
@@ -84,12 +88,12 @@
   boost::beast::http::response<boost::beast::http::string_body> response_;
   std::string peer_address_;
   SteadyClock::time_point deadline_ = SteadyClock::time_point::max();
-  SteadyClock::time_point armed_ = SteadyClock::time_point::max();
-  std::uint64_t request_ = 0;  // number of the current request
+  SteadyClock::time_point timer_expiry_ = SteadyClock::time_point::max();
+  std::uint64_t request_number_ = 0;  // of the current request
   bool wait_pending_ = false;
   bool header_done_ = false;
   bool continue_sent_ = false;
-  bool peer_stopped_ = false;  // the client has stopped sending
+  bool received_eof_ = false;  // the client has stopped sending
   bool request_counted_ = false;
   bool disconnect_reported_ = false;
   bool close_after_write_ = false;
--- a/adapters/internal/listener.h
+++ b/adapters/internal/listener.h
@@ -15,7 +15,7 @@
 //! thread.
 class Listener : public std::enable_shared_from_this<Listener> {
  public:
-  using OnSocket = std::function<void(Socket)>;
+  using SocketHandler = std::function<void(Socket)>;
 
   //! Binds; throws std::system_error when the address can't be bound.
   Listener(asio::io_context& context,
@@ -25,27 +25,27 @@
   std::uint16_t Port() const { return port_; }
 
   //! `on_socket` runs on worker threads, or in StopAfterBacklog().
-  void Start(OnSocket on_socket);
+  void Start(SocketHandler on_socket);
 
   //! Closes the listener. Connections that the kernel has established are
-  //! handed over first: closing would reset them, with requests that may be on
-  //! their way.
+  //! passed to `on_socket` first, since closing the listener would reset them,
+  //! possibly with requests in transit.
   void StopAfterBacklog();
 
   //! Closes the listener.
   void Stop();
 
  private:
-  void Accept();
+  void StartAccept();
   void OnAccept(error_code error, Socket socket);
 
   asio::io_context& context_;
   std::mutex mutex_;
   asio::ip::tcp::acceptor acceptor_;  // guarded by mutex_
-  SteadyTimer retry_;                 // guarded by mutex_
+  SteadyTimer retry_timer_;           // guarded by mutex_
   bool accepting_ = false;            // guarded by mutex_
   std::uint16_t port_ = 0;
-  OnSocket on_socket_;
+  SocketHandler on_socket_;
 };
 
 }  // namespace goldcrest::adapters
--- a/adapters/src/http_connection.cc
+++ b/adapters/src/http_connection.cc
@@ -20,7 +20,7 @@
 constexpr std::chrono::milliseconds kLingerTimeout{1'000};
 constexpr std::string_view kContinueResponse = "HTTP/1.1 100 Continue\r\n\r\n";
 
-ResultCode CodeFor(const error_code& error) {
+ResultCode ResultCodeFor(const error_code& error) {
   if (error == http::error::body_limit)
     return ResultCode::kBodyTooLarge;
   return ResultCode::kMalformedRequest;
@@ -30,10 +30,10 @@
   HttpRequest request;
   request.method = message.method_string();
   const std::string_view target = message.target();
-  const std::size_t mark = target.find('?');
-  request.path = target.substr(0, mark);
-  if (mark != std::string_view::npos)
-    request.query = target.substr(mark + 1);
+  const std::size_t query_mark = target.find('?');
+  request.path = target.substr(0, query_mark);
+  if (query_mark != std::string_view::npos)
+    request.query = target.substr(query_mark + 1);
   for (const auto& field : message)
     request.headers.emplace_back(field.name_string(), field.value());
   request.body = std::move(message.body());
@@ -46,8 +46,9 @@
 // copy of the Respond function and answers a request without a response.
 class HttpConnection::Responder {
  public:
-  Responder(std::shared_ptr<HttpConnection> connection, std::uint64_t request)
-      : connection_(std::move(connection)), request_(request) {}
+  Responder(std::shared_ptr<HttpConnection> connection,
+            std::uint64_t request_number)
+      : connection_(std::move(connection)), request_number_(request_number) {}
 
   ~Responder() { Send(ResultResponse(ResultCode::kOutcomeUnknown)); }
   Responder(const Responder&) = delete;
@@ -57,15 +58,15 @@
     if (sent_.exchange(true))
       return;
     asio::post(connection_->socket_.get_executor(),
-               [connection = connection_, request = request_,
+               [connection = connection_, request_number = request_number_,
                 response = std::move(response)]() mutable {
-                 connection->Answer(request, std::move(response));
+                 connection->OnResponse(request_number, std::move(response));
                });
   }
 
  private:
   const std::shared_ptr<HttpConnection> connection_;
-  const std::uint64_t request_;
+  const std::uint64_t request_number_;
   std::atomic<bool> sent_ = false;
 };
 
@@ -107,7 +108,7 @@
 
 void HttpConnection::Abort() {
   asio::post(socket_.get_executor(),
-             [self = shared_from_this()] { self->Shut(); });
+             [self = shared_from_this()] { self->Close(); });
 }
 
 void HttpConnection::BeginRequest() {
@@ -121,17 +122,17 @@
   SetDeadline(shared_->draining ? shared_->options.drain_idle
                                 : shared_->options.idle_timeout);
   if (buffer_.size() > 0) {
-    Parse();
+    ParseRequest();
     return;
   }
   buffer_.shrink_to_fit();
-  Wait();
+  WaitForReadable();
 }
 
 // Waits for readability without a read buffer, so that idle connections hold no
 // buffer memory.
-void HttpConnection::Wait() {
-  if (wait_pending_ || peer_stopped_)
+void HttpConnection::WaitForReadable() {
+  if (wait_pending_ || received_eof_)
     return;
   wait_pending_ = true;
   socket_.async_wait(Socket::wait_read,
@@ -150,47 +151,47 @@
   error_code error;
   buffer_.commit(socket_.read_some(buffer_.prepare(kReadBufferBytes), error));
   if (error == asio::error::would_block) {
-    Wait();
+    WaitForReadable();
     return;
   }
   if (error && error != asio::error::eof) {
-    Shut();
+    Close();
     return;
   }
   if (error) {
-    peer_stopped_ = true;
+    received_eof_ = true;
     ReportDisconnect();
   }
   switch (state_) {
     case State::kIdle:
-      if (peer_stopped_)
-        Shut();
+      if (received_eof_)
+        Close();
       else
-        Parse();
+        ParseRequest();
       return;
     case State::kReading:
-      Parse();
+      ParseRequest();
       return;
     case State::kHandling:
       if (buffer_.size() < kMaxPipelinedBytes)
-        Wait();
+        WaitForReadable();
       return;
     case State::kLingering:
-      if (peer_stopped_)
-        Shut();
+      if (received_eof_)
+        Close();
       else
-        Wait();
+        WaitForReadable();
       return;
     default:
       return;
   }
 }
 
-void HttpConnection::Parse() {
+void HttpConnection::ParseRequest() {
   if (state_ == State::kIdle) {
     state_ = State::kReading;
     request_counted_ = true;
-    ++shared_->in_flight;
+    ++shared_->requests_in_flight;
     deadline_ = SteadyClock::now() + shared_->options.header_timeout;
   }
   error_code error;
@@ -200,7 +201,7 @@
     if (error == http::error::need_more)
       break;
     if (error) {
-      Reject(CodeFor(error), error.message());
+      Reject(ResultCodeFor(error), error.message());
       return;
     }
     if (parser_->is_header_done() && !header_done_) {
@@ -209,16 +210,16 @@
     }
   }
   if (parser_->is_done()) {
-    Dispatch();
+    DispatchRequest();
     return;
   }
-  if (peer_stopped_) {
+  if (received_eof_) {
     Reject(ResultCode::kIncompleteRequest, "the request was cut short");
     return;
   }
   SendContinue();
   ArmTimer();
-  Wait();
+  WaitForReadable();
 }
 
 void HttpConnection::SendContinue() {
@@ -233,27 +234,28 @@
   socket_.write_some(asio::buffer(kContinueResponse), ignored);
 }
 
-void HttpConnection::Dispatch() {
+void HttpConnection::DispatchRequest() {
   state_ = State::kHandling;
   deadline_ = SteadyClock::time_point::max();
-  ++request_;
+  ++request_number_;
   close_after_write_ = !parser_->keep_alive();
   HttpRequest request = ToRequest(parser_->release());
   request.connection = id_;
   request.peer_address = peer_address_;
   const auto responder =
-      std::make_shared<Responder>(shared_from_this(), request_);
+      std::make_shared<Responder>(shared_from_this(), request_number_);
   // Detects a disconnected client and buffers pipelined requests.
   if (buffer_.size() < kMaxPipelinedBytes)
-    Wait();
+    WaitForReadable();
   shared_->handler(std::move(request), [responder](HttpResponse response) {
     responder->Send(std::move(response));
   });
 }
 
-void HttpConnection::Answer(std::uint64_t request, HttpResponse response) {
-  if (state_ == State::kHandling && request == request_)
-    Write(std::move(response));
+void HttpConnection::OnResponse(std::uint64_t request_number,
+                                HttpResponse response) {
+  if (state_ == State::kHandling && request_number == request_number_)
+    WriteResponse(std::move(response));
 }
 
 void HttpConnection::Reject(ResultCode code, std::string_view message) {
@@ -261,14 +263,14 @@
     return;
   HttpResponse response = ResultResponse(code, message);
   response.close = true;
-  Write(std::move(response));
+  WriteResponse(std::move(response));
 }
 
-void HttpConnection::Write(HttpResponse response) {
+void HttpConnection::WriteResponse(HttpResponse response) {
   state_ = State::kWriting;
   close_after_write_ = close_after_write_ || response.close ||
                        shared_->draining ||
-                       (peer_stopped_ && buffer_.size() == 0);
+                       (received_eof_ && buffer_.size() == 0);
   response_ = {};
   response_.version(11);
   response_.result(static_cast<unsigned>(response.status));
@@ -291,7 +293,7 @@
     return;
   EndRequest();
   if (error)
-    Shut();
+    Close();
   else if (close_after_write_)
     Linger();
   else
@@ -302,12 +304,12 @@
   state_ = State::kLingering;
   error_code error;
   socket_.shutdown(Socket::shutdown_send, error);
-  if (error || peer_stopped_) {
-    Shut();
+  if (error || received_eof_) {
+    Close();
     return;
   }
   SetDeadline(kLingerTimeout);
-  Wait();
+  WaitForReadable();
 }
 
 void HttpConnection::SetDeadline(std::chrono::milliseconds timeout) {
@@ -318,9 +320,9 @@
 // Does not rearm a timer that fires before the deadline: a busy connection
 // moves its deadline several times per request.
 void HttpConnection::ArmTimer() {
-  if (armed_ <= deadline_)
+  if (timer_expiry_ <= deadline_)
     return;
-  armed_ = deadline_;
+  timer_expiry_ = deadline_;
   timer_.expires_at(deadline_);
   timer_.async_wait([self = shared_from_this()](error_code error) {
     if (!error)
@@ -329,7 +331,7 @@
 }
 
 void HttpConnection::OnTimer() {
-  armed_ = SteadyClock::time_point::max();
+  timer_expiry_ = SteadyClock::time_point::max();
   if (state_ == State::kClosed || deadline_ == SteadyClock::time_point::max())
     return;
   if (SteadyClock::now() < deadline_)
@@ -340,7 +342,7 @@
 
 void HttpConnection::OnDeadline() {
   if (state_ != State::kReading) {
-    Shut();
+    Close();
     return;
   }
   Reject(ResultCode::kIncompleteRequest, "the request did not arrive in time");
@@ -354,10 +356,10 @@
 
 void HttpConnection::EndRequest() {
   if (std::exchange(request_counted_, false))
-    --shared_->in_flight;
+    --shared_->requests_in_flight;
 }
 
-void HttpConnection::Shut() {
+void HttpConnection::Close() {
   if (state_ == State::kClosed)
     return;
   state_ = State::kClosed;
@@ -365,7 +367,7 @@
   CloseSocket(socket_);
   timer_.cancel();
   ReportDisconnect();
-  shared_->forget(id_);
+  shared_->remove_connection(id_);
 }
 
 }  // namespace goldcrest::adapters
--- a/adapters/src/http_message.cc
+++ b/adapters/src/http_message.cc
@@ -10,7 +10,7 @@
 namespace goldcrest::adapters {
 namespace {
 
-std::string DecodePercent(std::string_view text) {
+std::string DecodeQueryComponent(std::string_view text) {
   std::string decoded;
   decoded.reserve(text.size());
   for (std::size_t i = 0; i < text.size(); ++i) {
@@ -18,14 +18,14 @@
       decoded.push_back(' ');
       continue;
     }
-    const std::string byte = text[i] == '%' && i + 2 < text.size()
-                                 ? FromHex(text.substr(i + 1, 2))
-                                 : std::string();
-    if (byte.empty()) {
+    const std::string decoded_byte = text[i] == '%' && i + 2 < text.size()
+                                         ? FromHex(text.substr(i + 1, 2))
+                                         : std::string();
+    if (decoded_byte.empty()) {
       decoded.push_back(text[i]);
       continue;
     }
-    decoded += byte;
+    decoded += decoded_byte;
     i += 2;
   }
   return decoded;
@@ -43,12 +43,13 @@
 
 std::string QueryParameter(std::string_view query, std::string_view name) {
   while (!query.empty()) {
-    const std::string_view pair = query.substr(0, query.find('&'));
-    query.remove_prefix(std::min(query.size(), pair.size() + 1));
-    const std::string_view key = pair.substr(0, pair.find('='));
-    if (DecodePercent(key) != name)
+    const std::string_view parameter = query.substr(0, query.find('&'));
+    query.remove_prefix(std::min(query.size(), parameter.size() + 1));
+    const std::string_view key = parameter.substr(0, parameter.find('='));
+    if (DecodeQueryComponent(key) != name)
       continue;
-    return DecodePercent(pair.substr(std::min(pair.size(), key.size() + 1)));
+    return DecodeQueryComponent(
+        parameter.substr(std::min(parameter.size(), key.size() + 1)));
   }
   return {};
 }
--- a/adapters/src/http_server.cc
+++ b/adapters/src/http_server.cc
@@ -32,18 +32,18 @@
   }
 
   void Start() {
-    shared_->forget = [weak = weak_from_this()](std::uint64_t id) {
+    shared_->remove_connection = [weak = weak_from_this()](std::uint64_t id) {
       if (const auto self = weak.lock())
-        self->Forget(id);
+        self->RemoveConnection(id);
     };
     listener_->Start([weak = weak_from_this()](Socket socket) {
       if (const auto self = weak.lock())
-        self->Admit(std::move(socket));
+        self->AddConnection(std::move(socket));
     });
   }
 
   std::uint16_t Port() const { return listener_->Port(); }
-  std::size_t RequestsInFlight() const { return shared_->in_flight; }
+  std::size_t RequestsInFlight() const { return shared_->requests_in_flight; }
 
   std::size_t OpenConnections() const {
     const std::lock_guard lock(mutex_);
@@ -54,7 +54,7 @@
 
   void BeginDrain() {
     shared_->draining = true;
-    for (const auto& connection : Connections())
+    for (const auto& connection : ListConnections())
       connection->BeginDrain();
   }
 
@@ -64,12 +64,12 @@
       const std::lock_guard lock(mutex_);
       closed_ = true;
     }
-    for (const auto& connection : Connections())
+    for (const auto& connection : ListConnections())
       connection->Abort();
   }
 
  private:
-  void Admit(Socket socket) {
+  void AddConnection(Socket socket) {
     const std::lock_guard lock(mutex_);
     if (closed_)
       return;
@@ -87,12 +87,12 @@
       connection->Refuse(ResultCode::kTooManyConnections);
   }
 
-  void Forget(std::uint64_t id) {
+  void RemoveConnection(std::uint64_t id) {
     const std::lock_guard lock(mutex_);
     connections_.erase(id);
   }
 
-  std::vector<std::shared_ptr<HttpConnection>> Connections() const {
+  std::vector<std::shared_ptr<HttpConnection>> ListConnections() const {
     const std::lock_guard lock(mutex_);
     std::vector<std::shared_ptr<HttpConnection>> connections;
     connections.reserve(connections_.size());
--- a/adapters/src/listener.cc
+++ b/adapters/src/listener.cc
@@ -18,7 +18,7 @@
                    std::uint16_t port)
     : context_(context),
       acceptor_(context),
-      retry_(asio::make_strand(context)) {
+      retry_timer_(asio::make_strand(context)) {
   try {
     const asio::ip::tcp::endpoint address(asio::ip::make_address(host), port);
     acceptor_.open(address.protocol());
@@ -33,15 +33,15 @@
   }
 }
 
-void Listener::Start(OnSocket on_socket) {
+void Listener::Start(SocketHandler on_socket) {
   const std::lock_guard lock(mutex_);
   on_socket_ = std::move(on_socket);
   accepting_ = true;
-  Accept();
+  StartAccept();
 }
 
 // Requires mutex_.
-void Listener::Accept() {
+void Listener::StartAccept() {
   if (!accepting_)
     return;
   acceptor_.async_accept(
@@ -58,15 +58,15 @@
   if (!accepting_)
     return;
   if (!error || error == asio::error::connection_aborted) {
-    Accept();
+    StartAccept();
     return;
   }
-  retry_.expires_after(kAcceptRetryDelay);
-  retry_.async_wait([self = shared_from_this()](error_code cancelled) {
+  retry_timer_.expires_after(kAcceptRetryDelay);
+  retry_timer_.async_wait([self = shared_from_this()](error_code cancelled) {
     if (cancelled)
       return;
     const std::lock_guard guard(self->mutex_);
-    self->Accept();
+    self->StartAccept();
   });
 }
 
@@ -85,7 +85,7 @@
         backlog.push_back(std::move(socket));
     }
     acceptor_.close(error);
-    retry_.cancel();
+    retry_timer_.cancel();
   }
   for (Socket& socket : backlog)
     on_socket_(std::move(socket));
@@ -96,7 +96,7 @@
   accepting_ = false;
   error_code ignored;
   acceptor_.close(ignored);
-  retry_.cancel();
+  retry_timer_.cancel();
 }
 
 }  // namespace goldcrest::adapters
--- a/adapters/tests/http_server_test.cc
+++ b/adapters/tests/http_server_test.cc
@@ -15,8 +15,8 @@
 
 using namespace std::chrono_literals;
 
-// A server that answers with the path, except for /hold, which waits for
-// Release().
+// A server that responds with the path, except for /hold, which waits for
+// SendHeldResponses().
 class Fixture {
  public:
   explicit Fixture(HttpServerOptions options = {})
@@ -36,21 +36,21 @@
   RawSocket Connect() const { return RawSocket::Connect(server_.Port()); }
   HttpServer& Server() { return server_; }
 
-  std::size_t Held() {
+  std::size_t HeldResponseCount() {
     const std::lock_guard lock(mutex_);
-    return held_.size();
+    return held_responses_.size();
   }
-  void Release() {
+  void SendHeldResponses() {
     const std::lock_guard lock(mutex_);
-    for (const auto& respond : held_) {
+    for (const auto& respond : held_responses_) {
       respond({.body = "released"});
       respond({.body = "twice"});
     }
-    held_.clear();
+    held_responses_.clear();
   }
-  void Forget() {
+  void DropHeldResponses() {
     const std::lock_guard lock(mutex_);
-    held_.clear();
+    held_responses_.clear();
   }
 
   std::promise<void> unblock;
@@ -69,16 +69,16 @@
       return;
     }
     const std::lock_guard lock(mutex_);
-    held_.push_back(std::move(respond));
+    held_responses_.push_back(std::move(respond));
   }
 
   std::mutex mutex_;
-  std::vector<HttpServer::Respond> held_;
+  std::vector<HttpServer::Respond> held_responses_;
   IoPool pool_{2};
   HttpServer server_;
 };
 
-std::string Get(const std::string& path) {
+std::string GetRequest(const std::string& path) {
   return "GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n";
 }
 
@@ -87,14 +87,14 @@
 }
 
 // Expected response to a request that is refused before the handler runs.
-void CheckRefused(const std::string& answer, ResultCode code) {
-  CAPTURE(answer);
+void CheckRefused(const std::string& response, ResultCode code) {
+  CAPTURE(response);
   const ResultCodeInfo& info = InfoOf(code);
-  CHECK(answer.starts_with("HTTP/1.1 " + std::to_string(info.http_status)));
-  CHECK(Contains(answer, "Connection: close"));
-  CHECK(Contains(answer, "\"code\":" + std::to_string(ToNumber(code)) +
-                             ",\"name\":\"" + std::string(info.name) +
-                             "\",\"outcome\":\"not_run\""));
+  CHECK(response.starts_with("HTTP/1.1 " + std::to_string(info.http_status)));
+  CHECK(Contains(response, "Connection: close"));
+  CHECK(Contains(response, "\"code\":" + std::to_string(ToNumber(code)) +
+                               ",\"name\":\"" + std::string(info.name) +
+                               "\",\"outcome\":\"not_run\""));
 }
 
 }  // namespace
@@ -102,15 +102,15 @@
 TEST_CASE("Requests of a connection are answered in order", "[adapters]") {
   Fixture fixture;
   const RawSocket client = fixture.Connect();
-  client.Send(Get("/hold") +
+  client.Send(GetRequest("/hold") +
               "POST /b?x=1 HTTP/1.1\r\nAuthorization: Bearer k\r\n"
               "Content-Length: 4\r\nConnection: close\r\n\r\nbody");
-  REQUIRE(WaitFor([&] { return fixture.Held() == 1; }));
+  REQUIRE(WaitFor([&] { return fixture.HeldResponseCount() == 1; }));
   CHECK(fixture.handled == 1);
-  fixture.Release();
-  const std::string answers = client.ReadAll();
-  CHECK(answers.find("released") < answers.find("/b?x=1|body|Bearer k"));
-  CHECK_FALSE(Contains(answers, "twice"));
+  fixture.SendHeldResponses();
+  const std::string responses = client.ReadAll();
+  CHECK(responses.find("released") < responses.find("/b?x=1|body|Bearer k"));
+  CHECK_FALSE(Contains(responses, "twice"));
   CHECK(WaitFor([&] { return fixture.Server().OpenConnections() == 0; }));
 }
 
@@ -195,14 +195,14 @@
 TEST_CASE("An answer to a client that has gone is dropped", "[adapters]") {
   Fixture fixture;
   RawSocket client = fixture.Connect();
-  client.Send(Get("/hold"));
-  REQUIRE(WaitFor([&] { return fixture.Held() == 1; }));
+  client.Send(GetRequest("/hold"));
+  REQUIRE(WaitFor([&] { return fixture.HeldResponseCount() == 1; }));
   client.Reset();
   CHECK(WaitFor([&] { return fixture.disconnects == 1; }));
   CHECK(WaitFor([&] { return fixture.Server().RequestsInFlight() == 0; }));
-  fixture.Release();
+  fixture.SendHeldResponses();
   const RawSocket other = fixture.Connect();
-  other.Send(Get("/next"));
+  other.Send(GetRequest("/next"));
   CHECK(Contains(other.ReadUntil("|"), "/next"));
   CHECK(fixture.disconnects == 1);
 }
@@ -211,10 +211,10 @@
           "[adapters][guarantee]") {
   Fixture fixture;
   const RawSocket client = fixture.Connect();
-  client.Send(Get("/hold"));
+  client.Send(GetRequest("/hold"));
   client.StopSending();
   REQUIRE(WaitFor([&] { return fixture.disconnects == 1; }));
-  fixture.Release();
+  fixture.SendHeldResponses();
   CHECK(Contains(client.ReadAll(), "released"));
 }
 
@@ -222,9 +222,9 @@
           "[adapters]") {
   Fixture fixture;
   const RawSocket client = fixture.Connect();
-  client.Send(Get("/hold"));
-  REQUIRE(WaitFor([&] { return fixture.Held() == 1; }));
-  fixture.Forget();
+  client.Send(GetRequest("/hold"));
+  REQUIRE(WaitFor([&] { return fixture.HeldResponseCount() == 1; }));
+  fixture.DropHeldResponses();
   CHECK(Contains(client.ReadUntil("}}"), "\"outcome\":\"unknown\""));
 }
 
@@ -232,13 +232,13 @@
           "[adapters][guarantee]") {
   Fixture fixture({.max_connections = 1});
   RawSocket first = fixture.Connect();
-  first.Send(Get("/one"));
+  first.Send(GetRequest("/one"));
   REQUIRE(Contains(first.ReadUntil("|"), "/one"));
   CheckRefused(fixture.Connect().ReadAll(), ResultCode::kTooManyConnections);
   first.Close();
   REQUIRE(WaitFor([&] { return fixture.Server().OpenConnections() == 0; }));
   const RawSocket second = fixture.Connect();
-  second.Send(Get("/two"));
+  second.Send(GetRequest("/two"));
   CHECK(Contains(second.ReadUntil("|"), "/two"));
 }
 
@@ -258,7 +258,7 @@
   Fixture fixture({.drain_idle = 100ms});
   const RawSocket idle = fixture.Connect();
   const RawSocket busy = fixture.Connect();
-  busy.Send(Get("/hold"));
+  busy.Send(GetRequest("/hold"));
   const RawSocket partial = fixture.Connect();
   partial.Send("POST /p HTTP/1.1\r\nContent-Length: 2\r\n\r\n");
   REQUIRE(WaitFor([&] { return fixture.Server().RequestsInFlight() == 2; }));
@@ -267,16 +267,16 @@
   fixture.Server().StopAccepting();
   fixture.Server().BeginDrain();
   CHECK_THROWS(fixture.Connect());
-  late.Send(Get("/late"));
+  late.Send(GetRequest("/late"));
   partial.Send("ok");
   CHECK(Contains(late.ReadAll(), "/late"));
   CHECK(Contains(partial.ReadAll(), "|ok|"));
   CHECK(idle.ReadAll().empty());
   CHECK(WaitFor([&] { return fixture.Server().OpenConnections() == 1; }));
-  fixture.Release();
-  const std::string answer = busy.ReadAll();
-  CHECK(Contains(answer, "Connection: close"));
-  CHECK(Contains(answer, "released"));
+  fixture.SendHeldResponses();
+  const std::string response = busy.ReadAll();
+  CHECK(Contains(response, "Connection: close"));
+  CHECK(Contains(response, "released"));
   CHECK(WaitFor([&] { return fixture.Server().OpenConnections() == 0; }));
 }
 
@@ -286,11 +286,11 @@
   // Both workers are busy, so no connection can be accepted.
   const RawSocket one = fixture.Connect();
   const RawSocket two = fixture.Connect();
-  one.Send(Get("/block"));
-  two.Send(Get("/block"));
+  one.Send(GetRequest("/block"));
+  two.Send(GetRequest("/block"));
   REQUIRE(WaitFor([&] { return fixture.handled == 2; }));
   const RawSocket late = fixture.Connect();
-  late.Send(Get("/late"));
+  late.Send(GetRequest("/late"));
   fixture.Server().StopAccepting();
   fixture.unblock.set_value();
   CHECK(Contains(late.ReadUntil("|"), "/late"));
