--- a/adapters/include/goldcrest/adapters/http_client.h
+++ b/adapters/include/goldcrest/adapters/http_client.h
@@ -21,7 +21,8 @@
   std::string host;  //!< IP number.
   std::uint16_t port = 0;
   std::size_t max_connections = 8;
-  //! Calls and pin requests that may wait for a connection.
+  //! Calls and requests for a pinned connection that may wait for a
+  //! connection.
   std::size_t max_waiting = 1'024;
   std::size_t max_body_bytes = 8 << 20;
   std::chrono::milliseconds connect_timeout{1'000};
@@ -39,9 +40,9 @@
 
 //! What is known about a call when it ends.
 enum class HttpDelivery {
-  kAnswered,  //!< A complete answer was received.
+  kAnswered,  //!< A complete response was received.
   kNotSent,   //!< No byte of the request was sent.
-  kUnknown,   //!< Bytes may have been sent; no complete answer came.
+  kUnknown,   //!< Bytes may have been sent; no complete response was received.
 };
 
 struct HttpResult {
@@ -62,11 +63,12 @@
   //! Closes the connection unless it was released.
   virtual ~PinnedConnection() = default;
 
-  //! Calls are made one after another in this order. After a call that was not
-  //! answered the connection is closed, and later calls end with kNotSent.
+  //! Calls run one after another in the order of these calls. After a call that
+  //! got no complete response the connection is closed, and later calls end
+  //! with kNotSent.
   virtual void Call(HttpCall call, HttpCallback callback) = 0;
 
-  //! Returns the connection to the pool; closes it when a call is running.
+  //! Returns the connection to the pool; closes it if a call is running.
   virtual void Release() = 0;
 
   //! Closes the connection; a running call ends with kUnknown, or with kNotSent
@@ -82,7 +84,7 @@
 
 //! HTTP/1.1 connection pool to one address. One call at a time uses a
 //! connection. A timeout, a disconnect or unexpected bytes close it, so a late
-//! answer is never delivered to another call. Safe from any thread.
+//! response is never delivered to another call. Safe from any thread.
 class HttpClient {
  public:
   HttpClient(boost::asio::io_context& context, HttpClientOptions options);
--- a/adapters/internal/client_connection.h
+++ b/adapters/internal/client_connection.h
@@ -21,7 +21,7 @@
 class ClientConnection : public std::enable_shared_from_this<ClientConnection> {
  public:
   //! `reusable` is true when the connection may take another call.
-  using Done = std::function<void(HttpResult result, bool reusable)>;
+  using DoneCallback = std::function<void(HttpResult result, bool reusable)>;
 
   ClientConnection(const Strand& strand,
                    std::uint64_t epoch,
@@ -38,13 +38,13 @@
   //! while it is idle.
   void WatchIdle(std::function<void()> on_broken);
 
-  void Run(HttpCall call, Done done);
+  void RunCall(HttpCall call, DoneCallback done);
 
-  //! Ends a running call, and a running Connect() with an error.
+  //! Ends a running call or a running Connect() with an error.
   void Close();
 
   std::uint64_t Epoch() const { return epoch_; }
-  //! Calls that ended with a whole answer.
+  //! Calls that ended with a complete response.
   std::uint64_t AnsweredCalls() const { return answered_calls_; }
   SteadyClock::time_point LastReceived() const { return last_received_; }
 
@@ -54,27 +54,27 @@
       boost::beast::http::response_parser<boost::beast::http::string_body>;
 
   void OnWritten(error_code error, std::size_t size);
-  void Wait();
+  void WaitForReadable();
   void OnReadable();
-  void Parse();
+  void ParseResponse();
   void OnDeadline();
-  void Fail(HttpDelivery delivery, std::string error);
-  void Finish(HttpResult result, bool reusable);
+  void FailCall(HttpDelivery delivery, std::string error);
+  void FinishCall(HttpResult result, bool reusable);
 
   Socket socket_;
   SteadyTimer timer_;
   const std::uint64_t epoch_;
   const std::size_t max_body_bytes_;
   State state_ = State::kConnecting;
-  std::function<void(error_code)> connected_;
+  std::function<void(error_code)> on_connected_;
   std::function<void()> on_broken_;
   boost::beast::http::request<boost::beast::http::string_body> request_;
   boost::beast::flat_buffer buffer_;
   std::optional<Parser> parser_;
-  Done done_;
+  DoneCallback on_done_;
   std::string close_cause_;
   std::uint64_t answered_calls_ = 0;
-  std::uint64_t calls_ = 0;
+  std::uint64_t started_calls_ = 0;
   SteadyClock::time_point last_received_;
   bool wait_pending_ = false;
 };
--- a/adapters/src/client_connection.cc
+++ b/adapters/src/client_connection.cc
@@ -25,7 +25,7 @@
 void ClientConnection::Connect(const asio::ip::tcp::endpoint& address,
                                std::chrono::milliseconds timeout,
                                std::function<void(error_code)> done) {
-  connected_ = std::move(done);
+  on_connected_ = std::move(done);
   timer_.expires_after(timeout);
   timer_.async_wait([self = shared_from_this()](error_code error) {
     if (!error && self->state_ == State::kConnecting)
@@ -44,7 +44,7 @@
     }
     if (error)
       self->Close();
-    std::exchange(self->connected_, nullptr)(error);
+    std::exchange(self->on_connected_, nullptr)(error);
   });
 }
 
@@ -59,13 +59,13 @@
 
 void ClientConnection::WatchIdle(std::function<void()> on_broken) {
   on_broken_ = std::move(on_broken);
-  Wait();
+  WaitForReadable();
 }
 
-void ClientConnection::Run(HttpCall call, Done done) {
+void ClientConnection::RunCall(HttpCall call, DoneCallback done) {
   state_ = State::kWriting;
-  done_ = std::move(done);
-  const std::uint64_t number = ++calls_;
+  on_done_ = std::move(done);
+  const std::uint64_t number = ++started_calls_;
   error_code error;
   const auto peer = socket_.remote_endpoint(error);
   request_ = {};
@@ -87,7 +87,7 @@
   timer_.async_wait([self = shared_from_this(), number](error_code cancelled) {
     // A completed wait can't be cancelled. The call number detects a handler of
     // an earlier call.
-    if (!cancelled && number == self->calls_)
+    if (!cancelled && number == self->started_calls_)
       self->OnDeadline();
   });
   http::async_write(
@@ -102,17 +102,17 @@
   // request was not sent only if that number is 0.
   if (!error && state_ == State::kWriting) {
     state_ = State::kReading;
-    Wait();
+    WaitForReadable();
     return;
   }
-  if (!done_)
+  if (!on_done_)
     return;
   const std::string cause =
       close_cause_.empty() ? "write failed: " + error.message() : close_cause_;
-  Fail(size == 0 ? HttpDelivery::kNotSent : HttpDelivery::kUnknown, cause);
+  FailCall(size == 0 ? HttpDelivery::kNotSent : HttpDelivery::kUnknown, cause);
 }
 
-void ClientConnection::Wait() {
+void ClientConnection::WaitForReadable() {
   if (wait_pending_)
     return;
   wait_pending_ = true;
@@ -127,7 +127,7 @@
 void ClientConnection::OnReadable() {
   if (state_ == State::kIdle) {
     if (IsUsable())
-      Wait();
+      WaitForReadable();
     else if (on_broken_)
       on_broken_();
     return;
@@ -137,43 +137,43 @@
   error_code error;
   buffer_.commit(socket_.read_some(buffer_.prepare(kReadBufferBytes), error));
   if (error == asio::error::would_block) {
-    Wait();
+    WaitForReadable();
     return;
   }
   if (error) {
-    Fail(HttpDelivery::kUnknown, "no whole answer: " + error.message());
+    FailCall(HttpDelivery::kUnknown, "incomplete response: " + error.message());
     return;
   }
   last_received_ = SteadyClock::now();
-  Parse();
+  ParseResponse();
 }
 
-void ClientConnection::Parse() {
+void ClientConnection::ParseResponse() {
   error_code error;
   while (buffer_.size() > 0 && !parser_->is_done()) {
     buffer_.consume(parser_->put(buffer_.data(), error));
     if (error == http::error::need_more)
       break;
     if (error) {
-      Fail(HttpDelivery::kUnknown, "answer not understood: " + error.message());
+      FailCall(HttpDelivery::kUnknown, "invalid response: " + error.message());
       return;
     }
   }
   if (!parser_->is_done()) {
-    Wait();
+    WaitForReadable();
     return;
   }
   if (parser_->get().result_int() < 200) {
-    Fail(HttpDelivery::kUnknown, "unexpected interim answer");
+    FailCall(HttpDelivery::kUnknown, "unexpected interim response");
     return;
   }
   const bool reusable = parser_->keep_alive() && buffer_.size() == 0;
   auto message = parser_->release();
   ++answered_calls_;
-  Finish({.delivery = HttpDelivery::kAnswered,
-          .status = static_cast<int>(message.result_int()),
-          .body = std::move(message.body())},
-         reusable);
+  FinishCall({.delivery = HttpDelivery::kAnswered,
+              .status = static_cast<int>(message.result_int()),
+              .body = std::move(message.body())},
+             reusable);
 }
 
 void ClientConnection::OnDeadline() {
@@ -194,14 +194,14 @@
   timer_.cancel();
   on_broken_ = nullptr;
   if (state == State::kReading)
-    Fail(HttpDelivery::kUnknown, close_cause_);
+    FailCall(HttpDelivery::kUnknown, close_cause_);
 }
 
-void ClientConnection::Fail(HttpDelivery delivery, std::string error) {
-  Finish({.delivery = delivery, .error = std::move(error)}, false);
+void ClientConnection::FailCall(HttpDelivery delivery, std::string error) {
+  FinishCall({.delivery = delivery, .error = std::move(error)}, false);
 }
 
-void ClientConnection::Finish(HttpResult result, bool reusable) {
+void ClientConnection::FinishCall(HttpResult result, bool reusable) {
   result.epoch = epoch_;
   timer_.cancel();
   if (reusable) {
@@ -210,7 +210,7 @@
     state_ = State::kClosed;
     CloseSocket(socket_);
   }
-  std::exchange(done_, nullptr)(std::move(result), reusable);
+  std::exchange(on_done_, nullptr)(std::move(result), reusable);
 }
 
 }  // namespace goldcrest::adapters
--- a/adapters/src/http_client.cc
+++ b/adapters/src/http_client.cc
@@ -18,19 +18,19 @@
 
 using Connection = std::shared_ptr<ClientConnection>;
 
-// A call or pin request waiting for a connection.
+// A call, or a request for a pinned connection, that waits for a connection.
 struct Job {
   HttpCall call;
   HttpCallback callback;
-  PinnedCallback pinned;  // set only for a pin request
+  PinnedCallback on_pinned;  // set only when a pinned connection is requested
   Time deadline;
   bool retried = false;
   std::optional<SteadyTimer> timer;
 };
 
 void FailNotSent(Job& job, std::string cause) {
-  if (job.pinned)
-    job.pinned(nullptr, std::move(cause));
+  if (job.on_pinned)
+    job.on_pinned(nullptr, std::move(cause));
   else
     job.callback({.error = std::move(cause)});
 }
@@ -43,35 +43,38 @@
   Impl(asio::io_context& context, HttpClientOptions options)
       : strand_(asio::make_strand(context)),
         options_(std::move(options)),
-        sweep_(strand_) {}
+        idle_timer_(strand_) {}
 
   const Strand& Executor() const { return strand_; }
-  std::size_t OpenConnections() const { return open_; }
+  std::size_t OpenConnections() const { return open_connections_; }
 
   void Submit(const std::shared_ptr<Job>& job);
   void SetMaxConnections(std::size_t maximum);
   void Close();
   //! Returns a connection to the pool.
-  void GiveBack(const Connection& connection);
-  void Drop(const Connection& connection);
+  void ReturnToPool(const Connection& connection);
+  void RemoveAndClose(const Connection& connection);
   //! Closes idle connections that received nothing since `start`, since the
   //! network fault behind a call's timeout may affect them as well.
-  void DropSilent(SteadyClock::time_point start);
+  void CloseSilentIdleConnections(SteadyClock::time_point start);
 
  private:
-  void Pump();
-  std::shared_ptr<Job> TakeFirst();
-  void StartConnect();
+  //! Assigns idle connections to waiting jobs and opens connections for the
+  //! others, up to the maximum.
+  void AssignConnections();
+  std::shared_ptr<Job> TakeNextJob();
+  void OpenConnection();
   void OnConnected(const Connection& connection, error_code error);
-  void Assign(const Connection& connection, const std::shared_ptr<Job>& job);
-  void OnDone(const Connection& connection,
-              const std::shared_ptr<Job>& job,
-              SteadyClock::time_point start,
-              HttpResult result,
-              bool reusable);
-  void WaitForDeadline(const std::shared_ptr<Job>& job);
-  void ArmSweep();
-  void Sweep();
+  void AssignConnection(const Connection& connection,
+                        const std::shared_ptr<Job>& job);
+  void OnCallDone(const Connection& connection,
+                  const std::shared_ptr<Job>& job,
+                  SteadyClock::time_point start,
+                  HttpResult result,
+                  bool reusable);
+  void ArmDeadline(const std::shared_ptr<Job>& job);
+  void ArmIdleTimer();
+  void CloseExpiredIdleConnections();
 
   struct Idle {
     Connection connection;
@@ -80,28 +83,29 @@
 
   const Strand strand_;
   HttpClientOptions options_;
-  SteadyTimer sweep_;
-  bool sweep_armed_ = false;
+  SteadyTimer idle_timer_;
+  bool idle_timer_armed_ = false;
   bool closed_ = false;
   std::uint64_t next_epoch_ = 1;
-  std::size_t connecting_ = 0;
+  std::size_t connecting_count_ = 0;
   std::set<Connection> connections_;  // in any state
   std::vector<Idle> idle_;            // oldest first
-  std::list<std::shared_ptr<Job>> waiting_;
-  std::atomic<std::size_t> open_ = 0;
+  std::list<std::shared_ptr<Job>> waiting_jobs_;
+  std::atomic<std::size_t> open_connections_ = 0;
 };
 
 namespace {
 
 // Runs the calls of one pinned connection on the client's strand.
-class PinnedCalls : public std::enable_shared_from_this<PinnedCalls> {
+class PinnedCallQueue : public std::enable_shared_from_this<PinnedCallQueue> {
  public:
-  PinnedCalls(std::shared_ptr<HttpClient::Impl> client, Connection connection)
+  PinnedCallQueue(std::shared_ptr<HttpClient::Impl> client,
+                  Connection connection)
       : client_(std::move(client)), connection_(std::move(connection)) {}
 
-  void Add(HttpCall call, HttpCallback callback) {
+  void Enqueue(HttpCall call, HttpCallback callback) {
     queue_.push_back({std::move(call), std::move(callback)});
-    Next();
+    RunQueued();
   }
 
   void Release() {
@@ -112,62 +116,64 @@
       return;
     }
     ended_ = true;
-    client_->GiveBack(connection_);
+    client_->ReturnToPool(connection_);
   }
 
   void Close() {
     if (std::exchange(ended_, true))
       return;
-    client_->Drop(connection_);
+    client_->RemoveAndClose(connection_);
   }
 
   const Strand& Executor() const { return client_->Executor(); }
   std::uint64_t Epoch() const { return connection_->Epoch(); }
 
  private:
-  struct Entry {
+  struct QueuedCall {
     HttpCall call;
     HttpCallback callback;
   };
 
-  void Next() {
+  void RunQueued() {
     while (!running_ && !queue_.empty()) {
-      Entry entry = std::move(queue_.front());
+      QueuedCall next = std::move(queue_.front());
       queue_.pop_front();
-      const bool late = entry.call.deadline <= SystemClock::Now();
-      if (!ended_ && (late || !connection_->IsUsable()))
+      const bool deadline_passed = next.call.deadline <= SystemClock::Now();
+      if (!ended_ && (deadline_passed || !connection_->IsUsable()))
         Close();
       if (ended_) {
-        entry.callback({.error = late ? "deadline" : "connection closed",
-                        .epoch = Epoch()});
+        next.callback(
+            {.error = deadline_passed ? "deadline" : "connection closed",
+             .epoch = Epoch()});
         continue;
       }
       running_ = true;
-      connection_->Run(std::move(entry.call),
-                       [self = shared_from_this(), start = SteadyClock::now(),
-                        callback = std::move(entry.callback)](HttpResult result,
-                                                              bool reusable) {
-                         self->running_ = false;
-                         if (!reusable)
-                           self->Close();
-                         if (result.delivery == HttpDelivery::kUnknown)
-                           self->client_->DropSilent(start);
-                         callback(std::move(result));
-                         self->Next();
-                       });
+      connection_->RunCall(
+          std::move(next.call),
+          [self = shared_from_this(), start = SteadyClock::now(),
+           callback = std::move(next.callback)](HttpResult result,
+                                                bool reusable) {
+            self->running_ = false;
+            if (!reusable)
+              self->Close();
+            if (result.delivery == HttpDelivery::kUnknown)
+              self->client_->CloseSilentIdleConnections(start);
+            callback(std::move(result));
+            self->RunQueued();
+          });
     }
   }
 
   const std::shared_ptr<HttpClient::Impl> client_;
   const Connection connection_;
-  std::deque<Entry> queue_;
+  std::deque<QueuedCall> queue_;
   bool running_ = false;
   bool ended_ = false;
 };
 
 class PinnedHandle : public PinnedConnection {
  public:
-  explicit PinnedHandle(std::shared_ptr<PinnedCalls> calls)
+  explicit PinnedHandle(std::shared_ptr<PinnedCallQueue> calls)
       : calls_(std::move(calls)) {}
 
   ~PinnedHandle() override {
@@ -179,7 +185,7 @@
   void Call(HttpCall call, HttpCallback callback) override {
     asio::post(calls_->Executor(), [calls = calls_, call = std::move(call),
                                     callback = std::move(callback)]() mutable {
-      calls->Add(std::move(call), std::move(callback));
+      calls->Enqueue(std::move(call), std::move(callback));
     });
   }
 
@@ -194,7 +200,7 @@
   std::uint64_t Epoch() const override { return calls_->Epoch(); }
 
  private:
-  const std::shared_ptr<PinnedCalls> calls_;
+  const std::shared_ptr<PinnedCallQueue> calls_;
 };
 
 }  // namespace
@@ -208,56 +214,56 @@
     FailNotSent(*job, "deadline");
     return;
   }
-  if (waiting_.size() >= options_.max_waiting) {
+  if (waiting_jobs_.size() >= options_.max_waiting) {
     FailNotSent(*job, "too many calls wait for a connection");
     return;
   }
-  waiting_.push_back(job);
-  Pump();
-  WaitForDeadline(job);
+  waiting_jobs_.push_back(job);
+  AssignConnections();
+  ArmDeadline(job);
 }
 
 // Has no effect if the job is no longer queued.
-void HttpClient::Impl::WaitForDeadline(const std::shared_ptr<Job>& job) {
-  if (waiting_.empty() || waiting_.back() != job)
+void HttpClient::Impl::ArmDeadline(const std::shared_ptr<Job>& job) {
+  if (waiting_jobs_.empty() || waiting_jobs_.back() != job)
     return;
   job->timer.emplace(strand_);
   job->timer->expires_at(SystemClock::ToSteady(job->deadline));
   job->timer->async_wait(
       [self = shared_from_this(), job](error_code cancelled) {
-        if (!cancelled && self->waiting_.remove(job) > 0)
+        if (!cancelled && self->waiting_jobs_.remove(job) > 0)
           FailNotSent(*job, "deadline");
       });
 }
 
-std::shared_ptr<Job> HttpClient::Impl::TakeFirst() {
-  std::shared_ptr<Job> job = std::move(waiting_.front());
-  waiting_.pop_front();
+std::shared_ptr<Job> HttpClient::Impl::TakeNextJob() {
+  std::shared_ptr<Job> job = std::move(waiting_jobs_.front());
+  waiting_jobs_.pop_front();
   if (job->timer)
     job->timer->cancel();
   return job;
 }
 
-void HttpClient::Impl::Pump() {
-  while (!waiting_.empty() && !idle_.empty()) {
+void HttpClient::Impl::AssignConnections() {
+  while (!waiting_jobs_.empty() && !idle_.empty()) {
     const Connection connection = std::move(idle_.back().connection);
     idle_.pop_back();
     if (connection->IsUsable())
-      Assign(connection, TakeFirst());
+      AssignConnection(connection, TakeNextJob());
     else
-      Drop(connection);
+      RemoveAndClose(connection);
   }
-  while (connecting_ < waiting_.size() &&
+  while (connecting_count_ < waiting_jobs_.size() &&
          connections_.size() < options_.max_connections)
-    StartConnect();
+    OpenConnection();
 }
 
-void HttpClient::Impl::StartConnect() {
+void HttpClient::Impl::OpenConnection() {
   const auto connection = std::make_shared<ClientConnection>(
       strand_, next_epoch_++, options_.max_body_bytes);
   connections_.insert(connection);
-  open_ = connections_.size();
-  ++connecting_;
+  open_connections_ = connections_.size();
+  ++connecting_count_;
   error_code error;
   const auto address = asio::ip::make_address(options_.host, error);
   auto done = [self = shared_from_this(), connection](error_code failure) {
@@ -273,28 +279,29 @@
 
 void HttpClient::Impl::OnConnected(const Connection& connection,
                                    error_code error) {
-  --connecting_;
+  --connecting_count_;
   if (closed_ || error) {
-    Drop(connection);
+    RemoveAndClose(connection);
     // Each failed connection attempt ends one call, so that calls fail before
     // their deadline while the address refuses connections.
-    if (!waiting_.empty())
-      FailNotSent(*TakeFirst(), "connect failed: " + error.message());
-    Pump();
+    if (!waiting_jobs_.empty())
+      FailNotSent(*TakeNextJob(), "connect failed: " + error.message());
+    AssignConnections();
     return;
   }
-  if (waiting_.empty() || connections_.size() > options_.max_connections) {
-    GiveBack(connection);
+  if (waiting_jobs_.empty() || connections_.size() > options_.max_connections) {
+    ReturnToPool(connection);
     return;
   }
-  Assign(connection, TakeFirst());
+  AssignConnection(connection, TakeNextJob());
 }
 
-void HttpClient::Impl::Assign(const Connection& connection,
-                              const std::shared_ptr<Job>& job) {
-  if (job->pinned) {
-    auto calls = std::make_shared<PinnedCalls>(shared_from_this(), connection);
-    job->pinned(std::make_shared<PinnedHandle>(std::move(calls)), {});
+void HttpClient::Impl::AssignConnection(const Connection& connection,
+                                        const std::shared_ptr<Job>& job) {
+  if (job->on_pinned) {
+    auto calls =
+        std::make_shared<PinnedCallQueue>(shared_from_this(), connection);
+    job->on_pinned(std::make_shared<PinnedHandle>(std::move(calls)), {});
     return;
   }
   const auto start = SteadyClock::now();
@@ -304,42 +311,43 @@
                       ? job->call
                       : std::move(job->call);
   call.deadline = job->deadline;
-  connection->Run(std::move(call), [self = shared_from_this(), connection, job,
-                                    start](HttpResult result, bool reusable) {
-    self->OnDone(connection, job, start, std::move(result), reusable);
-  });
+  connection->RunCall(
+      std::move(call), [self = shared_from_this(), connection, job, start](
+                           HttpResult result, bool reusable) {
+        self->OnCallDone(connection, job, start, std::move(result), reusable);
+      });
 }
 
-void HttpClient::Impl::OnDone(const Connection& connection,
-                              const std::shared_ptr<Job>& job,
-                              SteadyClock::time_point start,
-                              HttpResult result,
-                              bool reusable) {
+void HttpClient::Impl::OnCallDone(const Connection& connection,
+                                  const std::shared_ptr<Job>& job,
+                                  SteadyClock::time_point start,
+                                  HttpResult result,
+                                  bool reusable) {
   const bool stale = connection->AnsweredCalls() > 0 && !job->retried &&
                      result.delivery == HttpDelivery::kNotSent;
   if (reusable)
-    GiveBack(connection);
+    ReturnToPool(connection);
   else
-    Drop(connection);
+    RemoveAndClose(connection);
   if (result.delivery != HttpDelivery::kAnswered)
-    DropSilent(start);
+    CloseSilentIdleConnections(start);
   if (stale && !closed_ && job->deadline > SystemClock::Now()) {
     job->retried = true;
-    DropSilent(SteadyClock::time_point::max());
-    waiting_.push_back(job);
-    WaitForDeadline(job);
-    Pump();
+    CloseSilentIdleConnections(SteadyClock::time_point::max());
+    waiting_jobs_.push_back(job);
+    ArmDeadline(job);
+    AssignConnections();
     return;
   }
   job->callback(std::move(result));
-  Pump();
+  AssignConnections();
 }
 
-void HttpClient::Impl::GiveBack(const Connection& connection) {
+void HttpClient::Impl::ReturnToPool(const Connection& connection) {
   if (closed_ || connections_.size() > options_.max_connections ||
       !connection->IsUsable()) {
-    Drop(connection);
-    Pump();
+    RemoveAndClose(connection);
+    AssignConnections();
     return;
   }
   idle_.push_back({connection, SteadyClock::now()});
@@ -355,21 +363,23 @@
         // A pinned connection without a call is not in the idle list. Its next
         // call detects that it is unusable.
         if (std::erase_if(self->idle_, is_broken) > 0)
-          self->Drop(broken);
+          self->RemoveAndClose(broken);
       });
-  ArmSweep();
-  Pump();
+  ArmIdleTimer();
+  AssignConnections();
 }
 
-void HttpClient::Impl::Drop(const Connection& connection) {
+void HttpClient::Impl::RemoveAndClose(const Connection& connection) {
   connections_.erase(connection);
-  open_ = connections_.size();
+  open_connections_ = connections_.size();
   connection->Close();
-  if (!waiting_.empty() && !closed_)
-    asio::post(strand_, [self = shared_from_this()] { self->Pump(); });
+  if (!waiting_jobs_.empty() && !closed_)
+    asio::post(strand_,
+               [self = shared_from_this()] { self->AssignConnections(); });
 }
 
-void HttpClient::Impl::DropSilent(SteadyClock::time_point start) {
+void HttpClient::Impl::CloseSilentIdleConnections(
+    SteadyClock::time_point start) {
   std::vector<Connection> silent;
   std::erase_if(idle_, [&](const Idle& idle) {
     if (idle.connection->LastReceived() >= start)
@@ -378,30 +388,30 @@
     return true;
   });
   for (const Connection& connection : silent)
-    Drop(connection);
+    RemoveAndClose(connection);
 }
 
-void HttpClient::Impl::ArmSweep() {
-  if (sweep_armed_ || idle_.empty())
+void HttpClient::Impl::ArmIdleTimer() {
+  if (idle_timer_armed_ || idle_.empty())
     return;
-  sweep_armed_ = true;
-  sweep_.expires_at(idle_.front().since + options_.idle_timeout);
-  sweep_.async_wait([weak = weak_from_this()](error_code cancelled) {
+  idle_timer_armed_ = true;
+  idle_timer_.expires_at(idle_.front().since + options_.idle_timeout);
+  idle_timer_.async_wait([weak = weak_from_this()](error_code cancelled) {
     const auto self = weak.lock();
     if (!cancelled && self)
-      self->Sweep();
+      self->CloseExpiredIdleConnections();
   });
 }
 
-void HttpClient::Impl::Sweep() {
-  sweep_armed_ = false;
+void HttpClient::Impl::CloseExpiredIdleConnections() {
+  idle_timer_armed_ = false;
   const auto limit = SteadyClock::now() - options_.idle_timeout;
   while (!idle_.empty() && idle_.front().since <= limit) {
     const Connection connection = idle_.front().connection;
     idle_.erase(idle_.begin());
-    Drop(connection);
+    RemoveAndClose(connection);
   }
-  ArmSweep();
+  ArmIdleTimer();
 }
 
 void HttpClient::Impl::SetMaxConnections(std::size_t maximum) {
@@ -409,19 +419,19 @@
   while (connections_.size() > maximum && !idle_.empty()) {
     const Connection connection = idle_.front().connection;
     idle_.erase(idle_.begin());
-    Drop(connection);
+    RemoveAndClose(connection);
   }
-  Pump();
+  AssignConnections();
 }
 
 void HttpClient::Impl::Close() {
   closed_ = true;
-  sweep_.cancel();
+  idle_timer_.cancel();
   idle_.clear();
-  while (!waiting_.empty())
-    FailNotSent(*TakeFirst(), "client closed");
+  while (!waiting_jobs_.empty())
+    FailNotSent(*TakeNextJob(), "client closed");
   const auto connections = std::exchange(connections_, {});
-  open_ = 0;
+  open_connections_ = 0;
   for (const Connection& connection : connections)
     connection->Close();
 }
@@ -446,7 +456,7 @@
 void HttpClient::OpenPinned(Time deadline, PinnedCallback callback) {
   auto job = std::make_shared<Job>();
   job->deadline = deadline;
-  job->pinned = std::move(callback);
+  job->on_pinned = std::move(callback);
   asio::post(impl_->Executor(),
              [impl = impl_, job = std::move(job)] { impl->Submit(job); });
 }
--- a/adapters/tests/http_client_test.cc
+++ b/adapters/tests/http_client_test.cc
@@ -28,15 +28,15 @@
           .deadline = SystemClock::Now() + timeout};
 }
 
-std::string Answer(const std::string& body, const std::string& header = "") {
+std::string Response(const std::string& body, const std::string& header = "") {
   return "HTTP/1.1 200 OK\r\n" + header +
          "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
 // Waits for the result of one call.
-class Pending {
+class PendingResult {
  public:
-  Pending() : promise_(std::make_shared<std::promise<HttpResult>>()) {}
+  PendingResult() : promise_(std::make_shared<std::promise<HttpResult>>()) {}
   HttpCallback Callback() const {
     return [promise = promise_](HttpResult result) {
       promise->set_value(std::move(result));
@@ -62,18 +62,18 @@
   Fixture(const Fixture&) = delete;
   Fixture& operator=(const Fixture&) = delete;
 
-  Pending Call(HttpCall call) const {
-    Pending pending;
+  PendingResult Call(HttpCall call) const {
+    PendingResult pending;
     client->Call(std::move(call), pending.Callback());
     return pending;
   }
 
   // Completes one call and leaves its connection idle.
-  RawSocket Warm() const {
-    const Pending pending = Call(MakeCall("/warm"));
+  RawSocket OpenIdleConnection() const {
+    const PendingResult pending = Call(MakeCall("/warm"));
     RawSocket server = listener.Accept();
     server.ReadUntil(kHeaderEnd);
-    server.Send(Answer("warm"));
+    server.Send(Response("warm"));
     CHECK(pending.Get().body == "warm");
     return server;
   }
@@ -96,11 +96,11 @@
 
 TEST_CASE("A connection is reused for the next call", "[adapters]") {
   const Fixture fixture;
-  const RawSocket server = fixture.Warm();
+  const RawSocket server = fixture.OpenIdleConnection();
   HttpCall call = MakeCall("/v1/statement");
   call.method = "POST";
   call.body = "{}";
-  const Pending pending = fixture.Call(call);
+  const PendingResult pending = fixture.Call(call);
   CHECK(server.ReadUntil("{}") ==
         "POST /v1/statement HTTP/1.1\r\nHost: 127.0.0.1:" +
             std::to_string(fixture.listener.Port()) +
@@ -123,21 +123,21 @@
     fixture.listener.Close();
   }
   SECTION("The deadline passes while the only connection is busy") {
-    const Pending first = fixture.Call(MakeCall("/first"));
+    const PendingResult first = fixture.Call(MakeCall("/first"));
     const RawSocket server = fixture.listener.Accept();
     server.ReadUntil(kHeaderEnd);
-    const Pending late = fixture.Call(MakeCall("/late", 50ms));
+    const PendingResult late = fixture.Call(MakeCall("/late", 50ms));
     CHECK(late.Get().delivery == HttpDelivery::kNotSent);
-    server.Send(Answer("first", "Connection: close\r\n"));
+    server.Send(Response("first", "Connection: close\r\n"));
     CHECK(first.Get().body == "first");
     CHECK(server.ReadAll().empty());
     fixture.listener.Close();
   }
   SECTION("Too many calls wait") {
-    const Pending first = fixture.Call(MakeCall("/first"));
+    const PendingResult first = fixture.Call(MakeCall("/first"));
     const RawSocket server = fixture.listener.Accept();
     server.ReadUntil(kHeaderEnd);
-    const Pending waiting = fixture.Call(MakeCall("/waiting"));
+    const PendingResult waiting = fixture.Call(MakeCall("/waiting"));
     CHECK(fixture.Call(MakeCall("/refused")).Get().delivery ==
           HttpDelivery::kNotSent);
     fixture.client->Close();
@@ -158,73 +158,75 @@
           "[adapters][guarantee]") {
   Fixture fixture({.max_connections = 1, .max_body_bytes = 100});
   HttpCall call = MakeCall("/cut");
-  bool whole = true;
-  std::function<void(RawSocket&)> cut;
+  bool reads_request = true;
+  std::function<void(RawSocket&)> interrupt;
   SECTION("Closed before the answer") {
-    cut = [](RawSocket& server) { server.Close(); };
+    interrupt = [](RawSocket& server) { server.Close(); };
   }
   SECTION("Reset before the answer") {
-    cut = [](RawSocket& server) { server.Reset(); };
+    interrupt = [](RawSocket& server) { server.Reset(); };
   }
   SECTION("Closed within the answer") {
-    cut = [](RawSocket& server) {
+    interrupt = [](RawSocket& server) {
       server.Send("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf");
       server.Close();
     };
   }
   SECTION("An answer that ends only with the connection") {
-    cut = [](RawSocket& server) {
+    interrupt = [](RawSocket& server) {
       server.Send("HTTP/1.1 200 OK\r\n\r\nmaybe all");
       server.Close();
     };
   }
   SECTION("An answer that is not HTTP") {
-    cut = [](RawSocket& server) { server.Send("nonsense\r\n\r\n"); };
+    interrupt = [](RawSocket& server) { server.Send("nonsense\r\n\r\n"); };
   }
   SECTION("An answer larger than allowed") {
-    cut = [](RawSocket& server) { server.Send(Answer(std::string(101, 'a'))); };
+    interrupt = [](RawSocket& server) {
+      server.Send(Response(std::string(101, 'a')));
+    };
   }
   SECTION("The deadline passes before the answer") {
     call.deadline = SystemClock::Now() + 100ms;
-    cut = [](RawSocket&) {};
+    interrupt = [](RawSocket&) {};
   }
   SECTION("The deadline passes while a large request is written") {
     call.method = "POST";
     call.body.assign(32U << 20U, 'a');
     call.deadline = SystemClock::Now() + 300ms;
-    whole = false;
-    cut = [](RawSocket&) {};
+    reads_request = false;
+    interrupt = [](RawSocket&) {};
   }
-  const Pending pending = fixture.Call(call);
+  const PendingResult pending = fixture.Call(call);
   RawSocket server = fixture.listener.Accept();
-  if (whole)
+  if (reads_request)
     server.ReadUntil(kHeaderEnd);
-  cut(server);
+  interrupt(server);
   CHECK(pending.Get().delivery == HttpDelivery::kUnknown);
   // The connection is not used again.
-  const Pending next = fixture.Call(MakeCall("/next"));
+  const PendingResult next = fixture.Call(MakeCall("/next"));
   const RawSocket fresh = fixture.listener.Accept();
   CHECK(fresh.ReadUntil(kHeaderEnd).starts_with("GET /next "));
-  fresh.Send(Answer("next"));
+  fresh.Send(Response("next"));
   CHECK(next.Get().body == "next");
 }
 
 TEST_CASE("A late answer is not delivered to the next call",
           "[adapters][guarantee]") {
   Fixture fixture({.max_connections = 1});
-  const Pending slow = fixture.Call(MakeCall("/slow", 50ms));
+  const PendingResult slow = fixture.Call(MakeCall("/slow", 50ms));
   const RawSocket first = fixture.listener.Accept();
   first.ReadUntil(kHeaderEnd);
   CHECK(slow.Get().delivery == HttpDelivery::kUnknown);
-  const Pending next = fixture.Call(MakeCall("/next"));
+  const PendingResult next = fixture.Call(MakeCall("/next"));
   // Has no effect if the client has closed the connection, as it must.
   try {
-    first.Send(Answer("late"));
+    first.Send(Response("late"));
   } catch (const std::runtime_error&) {
   }
   const RawSocket second = fixture.listener.Accept();
   second.ReadUntil(kHeaderEnd);
-  second.Send(Answer("own"));
+  second.Send(Response("own"));
   const HttpResult result = next.Get();
   CHECK(result.body == "own");
   CHECK(result.epoch == 2);
@@ -232,40 +234,40 @@
 
 TEST_CASE("Unsolicited bytes close the connection", "[adapters][guarantee]") {
   Fixture fixture({.max_connections = 1});
-  const Pending first = fixture.Call(MakeCall("/first"));
+  const PendingResult first = fixture.Call(MakeCall("/first"));
   const RawSocket server = fixture.listener.Accept();
   server.ReadUntil(kHeaderEnd);
   SECTION("Together with the answer") {
-    server.Send(Answer("first") + Answer("extra"));
+    server.Send(Response("first") + Response("extra"));
     CHECK(first.Get().body == "first");
   }
   SECTION("On the idle connection") {
-    server.Send(Answer("first"));
+    server.Send(Response("first"));
     CHECK(first.Get().body == "first");
-    server.Send(Answer("extra"));
+    server.Send(Response("extra"));
   }
-  const Pending next = fixture.Call(MakeCall("/next"));
+  const PendingResult next = fixture.Call(MakeCall("/next"));
   const RawSocket second = fixture.listener.Accept();
   second.ReadUntil(kHeaderEnd);
-  second.Send(Answer("own"));
+  second.Send(Response("own"));
   CHECK(next.Get().body == "own");
 }
 
 TEST_CASE("A stale idle connection fails no call", "[adapters]") {
   const Fixture fixture;
-  RawSocket server = fixture.Warm();
+  RawSocket server = fixture.OpenIdleConnection();
   // Sent before the client can detect that the old connection was closed.
   server.Close();
-  const Pending next = fixture.Call(MakeCall("/next"));
+  const PendingResult next = fixture.Call(MakeCall("/next"));
   const RawSocket fresh = fixture.listener.Accept();
   fresh.ReadUntil(kHeaderEnd);
-  fresh.Send(Answer("next"));
+  fresh.Send(Response("next"));
   CHECK(next.Get().body == "next");
 }
 
 TEST_CASE("Idle connections are closed at their deadline", "[adapters]") {
   const Fixture fixture({.idle_timeout = 50ms});
-  const RawSocket server = fixture.Warm();
+  const RawSocket server = fixture.OpenIdleConnection();
   CHECK(server.ReadAll().empty());
   CHECK(WaitFor([&] { return fixture.client->OpenConnections() == 0; }));
 }
@@ -273,13 +275,13 @@
 TEST_CASE("A timeout closes idle connections that may be silent as well",
           "[adapters]") {
   const Fixture fixture({.max_connections = 2, .idle_timeout = 60s});
-  const Pending one = fixture.Call(MakeCall("/1"));
+  const PendingResult one = fixture.Call(MakeCall("/1"));
   const RawSocket first = fixture.listener.Accept();
-  const Pending two = fixture.Call(MakeCall("/2"));
+  const PendingResult two = fixture.Call(MakeCall("/2"));
   const RawSocket second = fixture.listener.Accept();
   for (const RawSocket* server : {&first, &second}) {
     server->ReadUntil(kHeaderEnd);
-    server->Send(Answer("x"));
+    server->Send(Response("x"));
   }
   one.Get();
   two.Get();
@@ -307,7 +309,7 @@
   for (const RawSocket& server : servers) {
     threads.emplace_back([&server] {
       while (server.ReadUntil(kHeaderEnd).ends_with(kHeaderEnd))
-        server.Send(Answer("y"));
+        server.Send(Response("y"));
     });
   }
   CHECK(WaitFor([&] { return done == kCalls; }));
@@ -321,25 +323,25 @@
 TEST_CASE("A pinned connection carries its own calls only, in order",
           "[adapters][guarantee]") {
   Fixture fixture({.max_connections = 1});
-  RawSocket server = fixture.Warm();
+  RawSocket server = fixture.OpenIdleConnection();
   const auto pinned = fixture.Pin();
   REQUIRE(pinned);
   CHECK(pinned->Epoch() == 1);
-  const Pending other = fixture.Call(MakeCall("/other"));
-  Pending one;
-  Pending two;
+  const PendingResult other = fixture.Call(MakeCall("/other"));
+  PendingResult one;
+  PendingResult two;
   pinned->Call(MakeCall("/one"), one.Callback());
   pinned->Call(MakeCall("/two"), two.Callback());
   CHECK(server.ReadUntil(kHeaderEnd).starts_with("GET /one "));
   SECTION("Released, it serves other calls") {
-    server.Send(Answer("1"));
+    server.Send(Response("1"));
     CHECK(one.Get().body == "1");
     CHECK(server.ReadUntil(kHeaderEnd).starts_with("GET /two "));
-    server.Send(Answer("2"));
+    server.Send(Response("2"));
     CHECK(two.Get().body == "2");
     pinned->Release();
     CHECK(server.ReadUntil(kHeaderEnd).starts_with("GET /other "));
-    server.Send(Answer("3"));
+    server.Send(Response("3"));
     CHECK(other.Get().body == "3");
     return;
   }
