--- a/adapters/include/goldcrest/adapters/peer_transport.h
+++ b/adapters/include/goldcrest/adapters/peer_transport.h
@@ -28,8 +28,8 @@
   //! Bounds of each link's send queue; the oldest messages are dropped.
   std::size_t max_queued_messages = 4'096;
   std::size_t max_queued_bytes = 32 << 20;
-  //! Incoming connections that have not yet sent a valid Hello.
-  std::size_t max_unknown_connections = 256;
+  //! Maximum of incoming connections that have not yet sent a valid Hello.
+  std::size_t max_unidentified_connections = 256;
   std::chrono::milliseconds ping_interval{250};
   //! A link without any received byte for this long is closed and replaced.
   std::chrono::milliseconds silence_timeout{1'000};
@@ -48,9 +48,9 @@
 };
 
 //! Links between daemons: frames of a 4-byte big-endian length and an encoded
-//! PeerMessage, the first of which is a Hello in both directions. Order is kept
-//! on one link only, and messages may be lost with a link. Safe from any
-//! thread.
+//! PeerMessage, the first of which is a Hello in both directions. Messages
+//! keep their order only within one link, and may be lost when it closes. Safe
+//! from any thread.
 class PeerTransport {
  public:
   //! Gets every message except Hello, ping and pong. Runs on a worker thread,
--- a/adapters/internal/peer_link.h
+++ b/adapters/internal/peer_link.h
@@ -27,17 +27,17 @@
   std::function<void(const std::shared_ptr<PeerLink>&)> on_up;
   //! Called once for each link that was started.
   std::function<void(const std::shared_ptr<PeerLink>&)> on_closed;
-  std::atomic<std::uint64_t> dropped = 0;
+  std::atomic<std::uint64_t> dropped_messages = 0;
 };
 
 //! One connection to a peer. It is up once both sides have sent a valid Hello.
 class PeerLink : public std::enable_shared_from_this<PeerLink> {
  public:
-  //! `expected` is the instance that an outgoing link leads to, and empty for
-  //! an incoming one.
+  //! `expected_peer` is the instance that an outgoing link connects to; empty
+  //! for an incoming link.
   PeerLink(Socket socket,
            std::shared_ptr<PeerLinkShared> shared,
-           std::string expected);
+           std::string expected_peer);
 
   // From any thread.
   void StartIncoming();
@@ -46,39 +46,41 @@
   bool Send(std::string frame);
   void Close(std::string cause);
 
-  bool IsOutgoing() const { return !expected_.empty(); }
+  bool IsOutgoing() const { return !expected_peer_.empty(); }
   bool WasUp() const { return up_; }
   //! The peer's name; to be read once the link is up.
   const std::string& Peer() const { return peer_; }
-  const std::string& Expected() const { return expected_; }
+  const std::string& ExpectedPeer() const { return expected_peer_; }
   const std::string& CloseCause() const { return close_cause_; }
 
  private:
-  void Begin();
-  void Wait();
+  //! Configures the connected socket and starts to read.
+  void OnConnected();
+  void WaitForReadable();
   void OnReadable();
   void ReadFrames();
   bool OnFrame(std::string_view bytes);
   bool OnHello(const messages::PeerMessage& message);
-  void Queue(std::string frame);
-  void SendNow(const messages::PeerMessage& message);
-  void SendWhenIdle(const messages::PeerMessage& message);
+  void EnqueueFrame(std::string frame);
+  void EnqueueMessage(const messages::PeerMessage& message);
+  void SendIfQueueEmpty(const messages::PeerMessage& message);
   void Flush();
   void OnWritten(error_code error);
-  void Tick();
-  void OnTick();
-  void Shut(ResultCode code, std::string cause);
+  void ArmTimer();
+  void OnTimer();
+  //! Closes the link; logs a rejection unless `code` is kOk.
+  void CloseOnStrand(ResultCode code, std::string cause);
 
   Socket socket_;
   SteadyTimer timer_;
   const std::shared_ptr<PeerLinkShared> shared_;
-  const std::string expected_;
+  const std::string expected_peer_;
 
   // Accessed only on the strand.
   std::string peer_;
-  std::string received_;
-  std::vector<std::string> writing_;
-  SteadyClock::time_point started_;
+  std::string receive_buffer_;
+  std::vector<std::string> frames_in_write_;
+  SteadyClock::time_point started_at_;
   SteadyClock::time_point last_received_;
   bool connected_ = false;
   bool closed_ = false;
--- a/adapters/src/peer_link.cc
+++ b/adapters/src/peer_link.cc
@@ -36,19 +36,19 @@
 
 PeerLink::PeerLink(Socket socket,
                    std::shared_ptr<PeerLinkShared> shared,
-                   std::string expected)
+                   std::string expected_peer)
     : socket_(std::move(socket)),
       timer_(socket_.get_executor()),
       shared_(std::move(shared)),
-      expected_(std::move(expected)) {}
+      expected_peer_(std::move(expected_peer)) {}
 
 void PeerLink::StartIncoming() {
   asio::post(socket_.get_executor(), [self = shared_from_this()] {
     if (self->closed_)
       return;
-    self->started_ = SteadyClock::now();
-    self->Begin();
-    self->Tick();
+    self->started_at_ = SteadyClock::now();
+    self->OnConnected();
+    self->ArmTimer();
   });
 }
 
@@ -56,33 +56,34 @@
   asio::post(socket_.get_executor(), [self = shared_from_this(), address] {
     if (self->closed_)
       return;
-    self->started_ = SteadyClock::now();
-    self->Tick();
+    self->started_at_ = SteadyClock::now();
+    self->ArmTimer();
     self->socket_.async_connect(address, [self](error_code error) {
       if (self->closed_)
         return;
       if (error) {
-        self->Shut(ResultCode::kOk, "connect failed: " + error.message());
+        self->CloseOnStrand(ResultCode::kOk,
+                            "connect failed: " + error.message());
         return;
       }
-      self->Begin();
+      self->OnConnected();
       messages::PeerMessage hello;
       hello.__isset.hello = true;
       hello.hello.cluster = self->shared_->options.cluster;
       hello.hello.instance = self->shared_->options.self;
       hello.hello.version = kProtocolVersion;
-      self->SendNow(hello);
+      self->EnqueueMessage(hello);
     });
   });
 }
 
-void PeerLink::Begin() {
+void PeerLink::OnConnected() {
   connected_ = true;
   last_received_ = SteadyClock::now();
   error_code ignored;
   socket_.non_blocking(true, ignored);
   socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
-  Wait();
+  WaitForReadable();
 }
 
 bool PeerLink::Send(std::string frame) {
@@ -95,14 +96,14 @@
           queued_bytes_ + frame.size() > options.max_queued_bytes)) {
     queued_bytes_ -= queue_.front().size();
     queue_.pop_front();
-    ++shared_->dropped;
+    ++shared_->dropped_messages;
   }
-  Queue(std::move(frame));
+  EnqueueFrame(std::move(frame));
   return true;
 }
 
 // Requires mutex_.
-void PeerLink::Queue(std::string frame) {
+void PeerLink::EnqueueFrame(std::string frame) {
   queued_bytes_ += frame.size();
   queue_.push_back(std::move(frame));
   if (std::exchange(flush_pending_, true))
@@ -111,38 +112,38 @@
              [self = shared_from_this()] { self->Flush(); });
 }
 
-void PeerLink::SendNow(const messages::PeerMessage& message) {
+void PeerLink::EnqueueMessage(const messages::PeerMessage& message) {
   const std::lock_guard lock(mutex_);
-  Queue(ToFrame(message));
+  EnqueueFrame(ToFrame(message));
 }
 
 // Sends a ping or pong only if the queue is empty: queued messages prove
 // liveness as well, and a peer that sends pings without reading must not fill
 // the queue.
-void PeerLink::SendWhenIdle(const messages::PeerMessage& message) {
+void PeerLink::SendIfQueueEmpty(const messages::PeerMessage& message) {
   const std::lock_guard lock(mutex_);
   if (queue_.empty())
-    Queue(ToFrame(message));
+    EnqueueFrame(ToFrame(message));
 }
 
 // flush_pending_ stays set during a write, so only one write runs at a time.
 void PeerLink::Flush() {
   {
     const std::lock_guard lock(mutex_);
-    writing_.clear();
-    while (!queue_.empty() && writing_.size() < kMaxFramesPerWrite) {
+    frames_in_write_.clear();
+    while (!queue_.empty() && frames_in_write_.size() < kMaxFramesPerWrite) {
       queued_bytes_ -= queue_.front().size();
-      writing_.push_back(std::move(queue_.front()));
+      frames_in_write_.push_back(std::move(queue_.front()));
       queue_.pop_front();
     }
-    if (writing_.empty() || closed_) {
+    if (frames_in_write_.empty() || closed_) {
       flush_pending_ = false;
       return;
     }
   }
   std::vector<asio::const_buffer> buffers;
-  buffers.reserve(writing_.size());
-  for (const std::string& frame : writing_)
+  buffers.reserve(frames_in_write_.size());
+  for (const std::string& frame : frames_in_write_)
     buffers.push_back(asio::buffer(frame));
   asio::async_write(socket_, buffers,
                     [self = shared_from_this()](error_code error, std::size_t) {
@@ -154,12 +155,12 @@
   if (closed_)
     return;
   if (error)
-    Shut(ResultCode::kOk, "write failed: " + error.message());
+    CloseOnStrand(ResultCode::kOk, "write failed: " + error.message());
   else
     Flush();
 }
 
-void PeerLink::Wait() {
+void PeerLink::WaitForReadable() {
   socket_.async_wait(Socket::wait_read,
                      [self = shared_from_this()](error_code error) {
                        if (!error && !self->closed_)
@@ -172,57 +173,58 @@
   error_code error;
   const std::size_t size = socket_.read_some(asio::buffer(bytes), error);
   if (error == asio::error::would_block) {
-    Wait();
+    WaitForReadable();
     return;
   }
   if (error) {
-    Shut(ResultCode::kOk, "closed by the peer: " + error.message());
+    CloseOnStrand(ResultCode::kOk, "closed by the peer: " + error.message());
     return;
   }
   last_received_ = SteadyClock::now();
-  received_.append(bytes.data(), size);
+  receive_buffer_.append(bytes.data(), size);
   ReadFrames();
   if (!closed_)
-    Wait();
+    WaitForReadable();
 }
 
 void PeerLink::ReadFrames() {
   std::size_t position = 0;
-  while (!closed_ && received_.size() - position >= kFrameLengthBytes) {
-    const std::size_t length = boost::endian::load_big_u32(
-        reinterpret_cast<const unsigned char*>(received_.data() + position));
+  while (!closed_ && receive_buffer_.size() - position >= kFrameLengthBytes) {
+    const std::size_t length =
+        boost::endian::load_big_u32(reinterpret_cast<const unsigned char*>(
+            receive_buffer_.data() + position));
     const std::size_t limit =
         up_ ? shared_->options.max_frame_bytes : kMaxHelloBytes;
     if (length > limit) {
-      Shut(ResultCode::kBodyTooLarge,
-           "frame of " + std::to_string(length) + " bytes");
+      CloseOnStrand(ResultCode::kBodyTooLarge,
+                    "frame too large: " + std::to_string(length) + " bytes");
       return;
     }
-    if (received_.size() - position - kFrameLengthBytes < length)
+    if (receive_buffer_.size() - position - kFrameLengthBytes < length)
       break;
-    if (!OnFrame(std::string_view(received_).substr(
-            position + kFrameLengthBytes, length)))
+    if (!OnFrame(std::string_view(receive_buffer_)
+                     .substr(position + kFrameLengthBytes, length)))
       return;
     position += kFrameLengthBytes + length;
   }
-  received_.erase(0, position);
+  receive_buffer_.erase(0, position);
   // Releases the memory of a large frame, so that an idle link does not keep
   // it.
-  if (received_.empty())
-    received_.shrink_to_fit();
+  if (receive_buffer_.empty())
+    receive_buffer_.shrink_to_fit();
 }
 
 // Returns false if the link was closed.
 bool PeerLink::OnFrame(std::string_view bytes) {
   auto message = messages::DecodePeerMessage(bytes);
   if (!message) {
-    Shut(ResultCode::kMalformedRequest, "undecodable frame");
+    CloseOnStrand(ResultCode::kMalformedRequest, "undecodable frame");
     return false;
   }
   if (!up_)
     return OnHello(*message);
   if (message->__isset.hello) {
-    Shut(ResultCode::kMalformedRequest, "second hello");
+    CloseOnStrand(ResultCode::kMalformedRequest, "unexpected second hello");
     return false;
   }
   if (message->__isset.pong)
@@ -230,7 +232,7 @@
   if (message->__isset.ping) {
     messages::PeerMessage pong;
     pong.__set_pong(message->ping);
-    SendWhenIdle(pong);
+    SendIfQueueEmpty(pong);
     return true;
   }
   shared_->on_message(peer_, std::move(*message));
@@ -240,30 +242,31 @@
 bool PeerLink::OnHello(const messages::PeerMessage& message) {
   const messages::Hello& hello = message.hello;
   const PeerTransportOptions& options = shared_->options;
-  std::string fault;
+  std::string mismatch;
   if (!message.__isset.hello)
-    fault = "first frame is no hello";
+    mismatch = "first frame is not a hello";
   else if (hello.cluster != options.cluster)
-    fault = "cluster is " + hello.cluster;
+    mismatch = "cluster is " + hello.cluster;
   else if (hello.version != kProtocolVersion)
-    fault = "protocol version is " + std::to_string(hello.version);
+    mismatch = "protocol version is " + std::to_string(hello.version);
   else if (hello.instance.instance.empty() ||
            hello.instance.instance == options.self.instance)
-    fault = "instance is " + hello.instance.instance;
-  else if (IsOutgoing() && hello.instance.instance != expected_)
-    fault = "instance is " + hello.instance.instance + ", not " + expected_;
-  if (!fault.empty()) {
-    Shut(ResultCode::kIdentityMismatch, fault);
+    mismatch = "instance is " + hello.instance.instance;
+  else if (IsOutgoing() && hello.instance.instance != expected_peer_)
+    mismatch =
+        "instance is " + hello.instance.instance + ", not " + expected_peer_;
+  if (!mismatch.empty()) {
+    CloseOnStrand(ResultCode::kIdentityMismatch, mismatch);
     return false;
   }
   peer_ = hello.instance.instance;
   if (!IsOutgoing()) {
-    messages::PeerMessage answer;
-    answer.__isset.hello = true;
-    answer.hello.cluster = options.cluster;
-    answer.hello.instance = options.self;
-    answer.hello.version = kProtocolVersion;
-    SendNow(answer);
+    messages::PeerMessage reply;
+    reply.__isset.hello = true;
+    reply.hello.cluster = options.cluster;
+    reply.hello.instance = options.self;
+    reply.hello.version = kProtocolVersion;
+    EnqueueMessage(reply);
   }
   {
     const std::lock_guard lock(mutex_);
@@ -274,23 +277,26 @@
   return true;
 }
 
-void PeerLink::Tick() {
+void PeerLink::ArmTimer() {
   const auto now = SteadyClock::now();
-  const auto silent = up_ ? last_received_ + shared_->options.silence_timeout
-                          : started_ + shared_->options.hello_timeout;
-  const auto ping = now + shared_->options.ping_interval;
-  timer_.expires_at(silent > now ? std::min(silent, ping) : ping);
+  const auto silence_deadline =
+      up_ ? last_received_ + shared_->options.silence_timeout
+          : started_at_ + shared_->options.hello_timeout;
+  const auto next_ping = now + shared_->options.ping_interval;
+  timer_.expires_at(silence_deadline > now
+                        ? std::min(silence_deadline, next_ping)
+                        : next_ping);
   timer_.async_wait([self = shared_from_this()](error_code error) {
     if (!error && !self->closed_)
-      self->OnTick();
+      self->OnTimer();
   });
 }
 
-void PeerLink::OnTick() {
+void PeerLink::OnTimer() {
   const auto now = SteadyClock::now();
   const auto timeout = shared_->options.silence_timeout;
-  if (!up_ && now - started_ >= shared_->options.hello_timeout) {
-    Shut(ResultCode::kOk, "no hello in time");
+  if (!up_ && now - started_at_ >= shared_->options.hello_timeout) {
+    CloseOnStrand(ResultCode::kOk, "hello timeout");
     return;
   }
   if (up_ && now - last_received_ >= timeout) {
@@ -298,33 +304,33 @@
     // the reactor has not reported yet.
     error_code error;
     if (socket_.available(error) == 0) {
-      Shut(ResultCode::kOk, "silent");
+      CloseOnStrand(ResultCode::kOk, "silent");
       return;
     }
   }
   if (up_) {
     messages::PeerMessage ping;
     ping.__set_ping(ToMicros(SystemClock::Now()));
-    SendWhenIdle(ping);
+    SendIfQueueEmpty(ping);
   }
-  Tick();
+  ArmTimer();
 }
 
 void PeerLink::Close(std::string cause) {
   asio::post(socket_.get_executor(),
              [self = shared_from_this(), cause = std::move(cause)] {
-               self->Shut(ResultCode::kOk, cause);
+               self->CloseOnStrand(ResultCode::kOk, cause);
              });
 }
 
-void PeerLink::Shut(ResultCode code, std::string cause) {
+void PeerLink::CloseOnStrand(ResultCode code, std::string cause) {
   if (std::exchange(closed_, true))
     return;
   close_cause_ = std::move(cause);
   {
     const std::lock_guard lock(mutex_);
     accepts_sends_ = false;
-    shared_->dropped += queue_.size();
+    shared_->dropped_messages += queue_.size();
     queue_.clear();
     queued_bytes_ = 0;
   }
@@ -332,7 +338,7 @@
     error_code ignored;
     const auto remote = socket_.remote_endpoint(ignored);
     shared_->logger->Warning("peer_link_rejected", code,
-                             {{"peer", peer_.empty() ? expected_ : peer_},
+                             {{"peer", peer_.empty() ? expected_peer_ : peer_},
                               {"address", remote.address().to_string()},
                               {"cause", close_cause_}});
   }
--- a/adapters/src/peer_transport.cc
+++ b/adapters/src/peer_transport.cc
@@ -24,7 +24,7 @@
         listener_(
             std::make_shared<Listener>(context, options.host, options.port)),
         shared_(std::make_shared<PeerLinkShared>()),
-        hooks_(asio::make_strand(context)),
+        hook_strand_(asio::make_strand(context)),
         on_link_(std::move(on_link)) {
     shared_->options = std::move(options);
     shared_->logger = std::move(logger);
@@ -36,51 +36,51 @@
   void SetPeers(const std::map<std::string, PeerAddress>& peers);
   bool Send(const std::string& to, const messages::PeerMessage& message);
   std::vector<std::string> ConnectedPeers() const;
-  std::uint64_t DroppedMessages() const { return shared_->dropped; }
+  std::uint64_t DroppedMessages() const { return shared_->dropped_messages; }
   void Close();
 
  private:
-  struct Outgoing {
+  struct OutgoingPeer {
     PeerAddress address;
     Link link;  // null until the next connection attempt
     std::chrono::milliseconds backoff{0};
     std::shared_ptr<SteadyTimer> timer;
-    std::string last_cause;  // logged only on change
+    std::string last_logged_cause;  // for logging only changes
   };
 
-  void OnSocket(Socket socket);
-  void OnUp(const Link& link);
-  void OnClosed(const Link& link);
-  void Connect(const std::string& name, Outgoing& peer);
-  void Reconnect(const std::string& name, Outgoing& peer);
-  static void Abandon(Outgoing& peer);
+  void OnAccepted(Socket socket);
+  void OnLinkUp(const Link& link);
+  void OnLinkClosed(const Link& link);
+  void Connect(const std::string& name, OutgoingPeer& peer);
+  void Reconnect(const std::string& name, OutgoingPeer& peer);
+  static void CloseOutgoing(OutgoingPeer& peer);
   void PostHook(const std::string& instance, bool up);
 
   asio::io_context& context_;
   const std::shared_ptr<Listener> listener_;
   const std::shared_ptr<PeerLinkShared> shared_;
-  const Strand hooks_;
+  const Strand hook_strand_;
   const LinkHook on_link_;
   mutable std::mutex mutex_;
-  bool started_ = false;                         // guarded by mutex_
-  bool closed_ = false;                          // guarded by mutex_
-  std::map<std::string, Outgoing> outgoing_;     // guarded by mutex_
-  std::vector<Link> unknown_;                    // incoming, before the Hello
-  std::map<std::string, std::vector<Link>> up_;  // oldest first
+  bool started_ = false;                          // guarded by mutex_
+  bool closed_ = false;                           // guarded by mutex_
+  std::map<std::string, OutgoingPeer> outgoing_;  // guarded by mutex_
+  std::vector<Link> unidentified_;  // incoming, before a valid Hello
+  std::map<std::string, std::vector<Link>> up_links_;  // oldest first
 };
 
 void PeerTransport::Impl::Start() {
   shared_->on_up = [weak = weak_from_this()](const Link& link) {
     if (const auto self = weak.lock())
-      self->OnUp(link);
+      self->OnLinkUp(link);
   };
   shared_->on_closed = [weak = weak_from_this()](const Link& link) {
     if (const auto self = weak.lock())
-      self->OnClosed(link);
+      self->OnLinkClosed(link);
   };
   listener_->Start([weak = weak_from_this()](Socket socket) {
     if (const auto self = weak.lock())
-      self->OnSocket(std::move(socket));
+      self->OnAccepted(std::move(socket));
   });
   const std::lock_guard lock(mutex_);
   started_ = true;
@@ -88,12 +88,13 @@
     Connect(name, peer);
 }
 
-void PeerTransport::Impl::OnSocket(Socket socket) {
+void PeerTransport::Impl::OnAccepted(Socket socket) {
   const std::lock_guard lock(mutex_);
-  if (closed_ || unknown_.size() >= shared_->options.max_unknown_connections)
+  if (closed_ ||
+      unidentified_.size() >= shared_->options.max_unidentified_connections)
     return;
   auto link = std::make_shared<PeerLink>(std::move(socket), shared_, "");
-  unknown_.push_back(link);
+  unidentified_.push_back(link);
   link->StartIncoming();
 }
 
@@ -108,28 +109,28 @@
       ++entry;
       continue;
     }
-    Abandon(entry->second);
+    CloseOutgoing(entry->second);
     entry = outgoing_.erase(entry);
   }
   for (const auto& [name, address] : peers) {
     if (name == shared_->options.self.instance || outgoing_.contains(name))
       continue;
-    Outgoing& peer = outgoing_[name];
+    OutgoingPeer& peer = outgoing_[name];
     peer.address = address;
     if (started_)
       Connect(name, peer);
   }
 }
 
-void PeerTransport::Impl::Abandon(Outgoing& peer) {
+void PeerTransport::Impl::CloseOutgoing(OutgoingPeer& peer) {
   if (peer.timer)
     peer.timer->cancel();
   if (peer.link)
-    peer.link->Close("removed from the address book");
+    peer.link->Close("removed from the peer addresses");
 }
 
 // Requires mutex_.
-void PeerTransport::Impl::Connect(const std::string& name, Outgoing& peer) {
+void PeerTransport::Impl::Connect(const std::string& name, OutgoingPeer& peer) {
   error_code error;
   const auto address = asio::ip::make_address(peer.address.host, error);
   if (error) {
@@ -143,12 +144,13 @@
 }
 
 // Requires mutex_.
-void PeerTransport::Impl::Reconnect(const std::string& name, Outgoing& peer) {
+void PeerTransport::Impl::Reconnect(const std::string& name,
+                                    OutgoingPeer& peer) {
   const PeerTransportOptions& options = shared_->options;
   peer.link = nullptr;
   peer.backoff =
       std::clamp(peer.backoff * 2, options.min_backoff, options.max_backoff);
-  auto timer = std::make_shared<SteadyTimer>(hooks_, peer.backoff);
+  auto timer = std::make_shared<SteadyTimer>(hook_strand_, peer.backoff);
   peer.timer = timer;
   timer->async_wait(
       [weak = weak_from_this(), name, timer](error_code cancelled) {
@@ -162,18 +164,18 @@
       });
 }
 
-void PeerTransport::Impl::OnUp(const Link& link) {
+void PeerTransport::Impl::OnLinkUp(const Link& link) {
   const std::string& name = link->Peer();
   const std::lock_guard lock(mutex_);
-  std::erase(unknown_, link);
+  std::erase(unidentified_, link);
   if (closed_)
     return;
   if (const auto found = outgoing_.find(name);
       found != outgoing_.end() && found->second.link == link) {
     found->second.backoff = {};
-    found->second.last_cause.clear();
+    found->second.last_logged_cause.clear();
   }
-  std::vector<Link>& links = up_[name];
+  std::vector<Link>& links = up_links_[name];
   links.push_back(link);
   shared_->logger->Info(
       "peer_link_up",
@@ -182,31 +184,32 @@
     PostHook(name, true);
 }
 
-void PeerTransport::Impl::OnClosed(const Link& link) {
+void PeerTransport::Impl::OnLinkClosed(const Link& link) {
   const std::lock_guard lock(mutex_);
-  std::erase(unknown_, link);
+  std::erase(unidentified_, link);
   if (link->WasUp()) {
     const std::string& name = link->Peer();
     shared_->logger->Info("peer_link_down",
                           {{"peer", name},
                            {"direction", link->IsOutgoing() ? "out" : "in"},
                            {"cause", link->CloseCause()}});
-    if (const auto found = up_.find(name); found != up_.end()) {
+    if (const auto found = up_links_.find(name); found != up_links_.end()) {
       const bool was_up = std::erase(found->second, link) > 0;
       if (was_up && found->second.empty()) {
-        up_.erase(found);
+        up_links_.erase(found);
         PostHook(name, false);
       }
     }
   }
-  const auto found = outgoing_.find(link->Expected());
+  const auto found = outgoing_.find(link->ExpectedPeer());
   if (closed_ || found == outgoing_.end() || found->second.link != link)
     return;
-  Outgoing& peer = found->second;
-  if (!link->WasUp() && peer.last_cause != link->CloseCause()) {
-    peer.last_cause = link->CloseCause();
-    shared_->logger->Info("peer_unreachable",
-                          {{"peer", found->first}, {"cause", peer.last_cause}});
+  OutgoingPeer& peer = found->second;
+  if (!link->WasUp() && peer.last_logged_cause != link->CloseCause()) {
+    peer.last_logged_cause = link->CloseCause();
+    shared_->logger->Info(
+        "peer_unreachable",
+        {{"peer", found->first}, {"cause", peer.last_logged_cause}});
   }
   Reconnect(found->first, peer);
 }
@@ -216,8 +219,8 @@
   std::vector<Link> links;
   {
     const std::lock_guard lock(mutex_);
-    const auto found = up_.find(to);
-    if (found == up_.end())
+    const auto found = up_links_.find(to);
+    if (found == up_links_.end())
       return false;
     links = found->second;
   }
@@ -235,8 +238,8 @@
 std::vector<std::string> PeerTransport::Impl::ConnectedPeers() const {
   const std::lock_guard lock(mutex_);
   std::vector<std::string> peers;
-  peers.reserve(up_.size());
-  for (const auto& [name, links] : up_)
+  peers.reserve(up_links_.size());
+  for (const auto& [name, links] : up_links_)
     peers.push_back(name);
   return peers;
 }
@@ -246,7 +249,7 @@
 void PeerTransport::Impl::PostHook(const std::string& instance, bool up) {
   if (!on_link_)
     return;
-  asio::post(hooks_, [self = shared_from_this(), instance, up] {
+  asio::post(hook_strand_, [self = shared_from_this(), instance, up] {
     self->on_link_(instance, up);
   });
 }
@@ -256,11 +259,11 @@
   const std::lock_guard lock(mutex_);
   closed_ = true;
   for (auto& [name, peer] : outgoing_)
-    Abandon(peer);
+    CloseOutgoing(peer);
   outgoing_.clear();
-  for (const Link& link : unknown_)
+  for (const Link& link : unidentified_)
     link->Close("transport closed");
-  for (const auto& [name, links] : up_) {
+  for (const auto& [name, links] : up_links_) {
     for (const Link& link : links)
       link->Close("transport closed");
   }
--- a/adapters/tests/peer_transport_test.cc
+++ b/adapters/tests/peer_transport_test.cc
@@ -22,7 +22,7 @@
   explicit Node(const std::string& name, PeerTransportOptions options = {})
       : transport_(
             pool_.Context(),
-            Complete(name, std::move(options)),
+            CompleteOptions(name, std::move(options)),
             std::make_shared<Logger>(LoggerOptions{
                 .sink = [this](std::string_view line) { AddLine(line); }}),
             [this](const std::string& from, const PeerMessage& message) {
@@ -39,7 +39,7 @@
   Node& operator=(const Node&) = delete;
 
   PeerTransport& Transport() { return transport_; }
-  void Know(const std::string& name, std::uint16_t port) {
+  void SetPeer(const std::string& name, std::uint16_t port) {
     transport_.SetPeers({{name, {"127.0.0.1", port}}});
   }
   bool Send(const std::string& to, const std::string& text) {
@@ -48,12 +48,12 @@
     message.query.path = text;
     return transport_.Send(to, message);
   }
-  bool Received(const std::string& text) { return Has(received_, text); }
-  bool Logged(const std::string& text) { return Has(log_, text); }
+  bool Received(const std::string& text) { return Contains(received_, text); }
+  bool Logged(const std::string& text) { return Contains(log_, text); }
 
  private:
-  static PeerTransportOptions Complete(const std::string& name,
-                                       PeerTransportOptions options) {
+  static PeerTransportOptions CompleteOptions(const std::string& name,
+                                              PeerTransportOptions options) {
     options.self.instance = name;
     if (options.cluster.empty())
       options.cluster = "test";
@@ -67,7 +67,7 @@
     const std::lock_guard lock(mutex_);
     received_ += text + "\n";
   }
-  bool Has(const std::string& all, const std::string& text) {
+  bool Contains(const std::string& all, const std::string& text) {
     const std::lock_guard lock(mutex_);
     return all.find(text) != std::string::npos;
   }
@@ -104,16 +104,16 @@
   Node a("a");
   Node b("b");
   CHECK_FALSE(a.Send("b", "early"));
-  a.Know("b", b.Transport().Port());
+  a.SetPeer("b", b.Transport().Port());
   REQUIRE(WaitFor([&] {
     return a.Transport().IsConnected("b") && b.Transport().IsConnected("a");
   }));
   CHECK(a.Send("b", "there"));
-  const std::string large(1 << 20, 'x');
-  CHECK(b.Send("a", large));
+  const std::string large_text(1 << 20, 'x');
+  CHECK(b.Send("a", large_text));
   CHECK(b.Send("a", "back"));
   CHECK(WaitFor([&] { return b.Received("a up\na:there"); }));
-  CHECK(WaitFor([&] { return a.Received("b:" + large + "\nb:back"); }));
+  CHECK(WaitFor([&] { return a.Received("b:" + large_text + "\nb:back"); }));
   a.Transport().SetPeers({});
   CHECK(WaitFor([&] { return b.Received("a down"); }));
   CHECK_FALSE(b.Send("a", "gone"));
@@ -124,11 +124,11 @@
   Node a("a");
   Node b("b");
   Relay relay(b.Transport().Port());
-  a.Know("b", relay.Port());
+  a.SetPeer("b", relay.Port());
   REQUIRE(WaitFor([&] { return a.Transport().IsConnected("b"); }));
   const auto start = std::chrono::steady_clock::now();
   relay.SilenceExisting();
-  REQUIRE(WaitFor([&] { return relay.Accepted() == 2; }));
+  REQUIRE(WaitFor([&] { return relay.AcceptedConnections() == 2; }));
   const auto replaced = std::chrono::steady_clock::now() - start;
   // The silence timeout of 1 s counts from the last byte, which arrived at most
   // about one ping interval before the silence began; then a backoff of 50 ms.
@@ -151,7 +151,7 @@
   {
     Node b("b");
     port = b.Transport().Port();
-    a.Know("b", port);
+    a.SetPeer("b", port);
     REQUIRE(WaitFor([&] { return a.Transport().IsConnected("b"); }));
     b.Transport().Close();
     REQUIRE(WaitFor([&] { return !a.Transport().IsConnected("b"); }));
@@ -212,7 +212,7 @@
           "[adapters][guarantee]") {
   Node a("a");
   Node c("c");
-  a.Know("b", c.Transport().Port());
+  a.SetPeer("b", c.Transport().Port());
   CHECK(WaitFor([&] { return a.Logged("instance is c, not b"); }));
   CHECK_FALSE(a.Transport().IsConnected("b"));
   CHECK_FALSE(a.Transport().IsConnected("c"));
@@ -224,10 +224,10 @@
   const RawSocket peer = RawSocket::Connect(a.Transport().Port());
   peer.Send(HelloFrame("test", "b", 1));
   REQUIRE(WaitFor([&] { return a.Transport().IsConnected("b"); }));
-  const std::string large(1 << 20, 'x');
+  const std::string large_text(1 << 20, 'x');
   // The peer doesn't read, so the link's queue fills up.
   CHECK(WaitFor([&] {
-    return a.Send("b", large) && a.Transport().DroppedMessages() >= 10;
+    return a.Send("b", large_text) && a.Transport().DroppedMessages() >= 10;
   }));
   CHECK(a.Send("b", "newest"));
   CHECK(peer.ReadUntil("newest").find("newest") != std::string::npos);
--- a/adapters/tests/relay.cc
+++ b/adapters/tests/relay.cc
@@ -13,22 +13,23 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-struct Pair {
-  explicit Pair(tcp::socket client)
-      : near(std::move(client)), far(near.get_executor()) {}
+struct RelayedConnection {
+  explicit RelayedConnection(tcp::socket client)
+      : client_side(std::move(client)),
+        target_side(client_side.get_executor()) {}
 
-  tcp::socket near;
-  tcp::socket far;
+  tcp::socket client_side;
+  tcp::socket target_side;
   std::atomic<bool> silent = false;
 };
 
-void Forward(const std::shared_ptr<Pair>& pair,
+void Forward(const std::shared_ptr<RelayedConnection>& connection,
              tcp::socket& from,
              tcp::socket& to) {
   auto bytes = std::make_shared<std::array<char, 4096>>();
   from.async_read_some(asio::buffer(*bytes),
                        [=, &from, &to](error_code error, std::size_t size) {
-                         if (pair->silent)
+                         if (connection->silent)
                            return;
                          if (!error)
                            asio::write(to, asio::buffer(*bytes, size), error);
@@ -37,7 +38,7 @@
                            to.shutdown(tcp::socket::shutdown_both, ignored);
                            return;
                          }
-                         Forward(pair, from, to);
+                         Forward(connection, from, to);
                        });
 }
 
@@ -56,12 +57,12 @@
       if (error)
         return;
       ++accepted;
-      auto pair = std::make_shared<Pair>(std::move(socket));
-      pair->far.connect(target, error);
+      auto connection = std::make_shared<RelayedConnection>(std::move(socket));
+      connection->target_side.connect(target, error);
       if (!error) {
-        pairs.push_back(pair);
-        Forward(pair, pair->near, pair->far);
-        Forward(pair, pair->far, pair->near);
+        connections.push_back(connection);
+        Forward(connection, connection->client_side, connection->target_side);
+        Forward(connection, connection->target_side, connection->client_side);
       }
       Accept();
     });
@@ -70,7 +71,7 @@
   asio::io_context context{1};
   tcp::endpoint target;
   tcp::acceptor acceptor;
-  std::vector<std::shared_ptr<Pair>> pairs;
+  std::vector<std::shared_ptr<RelayedConnection>> connections;
   std::atomic<int> accepted = 0;
   std::thread thread;
 };
@@ -88,12 +89,12 @@
 
 void Relay::SilenceExisting() {
   asio::post(impl_->context, [this] {
-    for (const auto& pair : impl_->pairs)
-      pair->silent = true;
+    for (const auto& connection : impl_->connections)
+      connection->silent = true;
   });
 }
 
-int Relay::Accepted() const {
+int Relay::AcceptedConnections() const {
   return impl_->accepted;
 }
 
--- a/adapters/tests/relay.h
+++ b/adapters/tests/relay.h
@@ -20,7 +20,7 @@
   //! Existing connections stay open but forward no more bytes in either
   //! direction. New connections are forwarded.
   void SilenceExisting();
-  int Accepted() const;
+  int AcceptedConnections() const;
 
  private:
   struct Impl;
