--- a/adapters/include/goldcrest/adapters/line_socket.h
+++ b/adapters/include/goldcrest/adapters/line_socket.h
@@ -18,9 +18,9 @@
 class LineSocket : public std::enable_shared_from_this<LineSocket> {
  public:
   struct Hooks {
-    //! One line without its end. May close the socket.
+    //! One line without its line end. May close the socket.
     std::function<void(std::string_view)> line;
-    //! Called once, unless Close() was called. The cause, for logs.
+    //! Called once, with the cause for logs, unless Close() was called.
     std::function<void(const std::string&)> closed;
   };
 
@@ -42,8 +42,8 @@
   void Write(std::string_view bytes);
 
   //! Closes after the queued bytes are written, and after the peer has closed
-  //! or `linger` has passed, so that it gets them.
-  void CloseAfterWrites(std::chrono::milliseconds linger);
+  //! or `peer_close_timeout` has passed, so that the peer receives them.
+  void CloseAfterWrites(std::chrono::milliseconds peer_close_timeout);
 
   //! Closes at once; no hook is called any more.
   void Close();
@@ -51,24 +51,25 @@
   static constexpr std::size_t kMaxQueuedBytes = std::size_t{4} << 20U;
 
  private:
-  void Start();
-  void AwaitRead();
+  //! Sets the socket options and starts to read.
+  void OnConnected();
+  void WaitForReadable();
   void OnReadable();
-  void Consume(std::string_view bytes);
+  void DeliverLines(std::string_view bytes);
   void Flush();
   void Fail(const std::string& cause);
-  void FailLater(std::string cause);
-  void Release();
+  void PostFailure(std::string cause);
+  void CloseAndClearHooks();
 
   boost::asio::ip::tcp::socket socket_;
   boost::asio::steady_timer timer_;
   std::size_t max_line_bytes_;
   Hooks hooks_;
-  std::string partial_;  // a line that has not ended
-  std::string queued_;
+  std::string partial_line_;  // received without its line end
+  std::string send_buffer_;
   bool open_ = false;
   bool connected_ = false;
-  bool writing_ = false;
+  bool write_pending_ = false;
   bool closing_ = false;
 };
 
--- a/adapters/src/line_socket.cc
+++ b/adapters/src/line_socket.cc
@@ -39,7 +39,7 @@
   socket_ = std::move(socket);
   hooks_ = std::move(hooks);
   open_ = true;
-  Start();
+  OnConnected();
 }
 
 void LineSocket::Connect(const std::string& host,
@@ -48,16 +48,16 @@
                          std::string greeting,
                          Hooks hooks) {
   hooks_ = std::move(hooks);
-  queued_ = std::move(greeting);
+  send_buffer_ = std::move(greeting);
   open_ = true;
   error_code error;
   const auto address = asio::ip::make_address(host, error);
   if (error)
-    return FailLater("address can't be read: " + error.message());
+    return PostFailure("invalid address: " + error.message());
   timer_.expires_after(timeout);
   timer_.async_wait([self = shared_from_this()](error_code canceled) {
     if (!canceled && !self->connected_)
-      self->Fail("no connection in time");
+      self->Fail("connect timeout");
   });
   socket_.async_connect(tcp::endpoint(address, port),
                         [self = shared_from_this()](error_code failed) {
@@ -66,12 +66,12 @@
                           if (failed)
                             return self->Fail(failed.message());
                           self->timer_.cancel();
-                          self->Start();
+                          self->OnConnected();
                           self->Flush();
                         });
 }
 
-void LineSocket::Start() {
+void LineSocket::OnConnected() {
   connected_ = true;
   error_code ignored;
   socket_.non_blocking(true, ignored);
@@ -82,10 +82,10 @@
   SetOption(socket_, TCP_KEEPIDLE, kKeepaliveIdleSeconds);
   SetOption(socket_, TCP_KEEPINTVL, kKeepaliveIntervalSeconds);
   SetOption(socket_, TCP_KEEPCNT, kKeepaliveProbeCount);
-  AwaitRead();
+  WaitForReadable();
 }
 
-void LineSocket::AwaitRead() {
+void LineSocket::WaitForReadable() {
   socket_.async_wait(tcp::socket::wait_read,
                      [self = shared_from_this()](error_code error) {
                        if (!self->open_)
@@ -102,20 +102,20 @@
   error_code error;
   const std::size_t count = socket_.read_some(asio::buffer(buffer), error);
   if (error == asio::error::would_block)
-    return AwaitRead();
+    return WaitForReadable();
   if (error)
     return Fail(error.message());
   const auto self = shared_from_this();
   if (!closing_)
-    Consume({buffer.data(), count});
+    DeliverLines({buffer.data(), count});
   if (open_)
-    AwaitRead();
+    WaitForReadable();
 }
 
-void LineSocket::Consume(std::string_view bytes) {
+void LineSocket::DeliverLines(std::string_view bytes) {
   // Passes lines from a copy, since a hook may run the read of another socket,
   // which overwrites the shared buffer.
-  std::string text = std::exchange(partial_, {});
+  std::string text = std::exchange(partial_line_, {});
   text.append(bytes);
   std::size_t begin = 0;
   while (open_ && !closing_) {
@@ -130,30 +130,31 @@
   }
   if (!open_)
     return;
-  partial_ = text.substr(begin);
-  if (partial_.size() > max_line_bytes_)
+  partial_line_ = text.substr(begin);
+  if (partial_line_.size() > max_line_bytes_)
     Fail("a line is too long");
 }
 
 void LineSocket::Write(std::string_view bytes) {
   if (!open_ || closing_)
     return;
-  queued_.append(bytes);
-  if (queued_.size() > kMaxQueuedBytes)
-    return FailLater("the peer does not read");
-  if (connected_ && !writing_)
+  send_buffer_.append(bytes);
+  if (send_buffer_.size() > kMaxQueuedBytes)
+    return PostFailure("the peer does not read");
+  if (connected_ && !write_pending_)
     Flush();
 }
 
 void LineSocket::Flush() {
-  while (open_ && !queued_.empty()) {
+  while (open_ && !send_buffer_.empty()) {
     error_code error;
-    const std::size_t count = socket_.write_some(asio::buffer(queued_), error);
+    const std::size_t count =
+        socket_.write_some(asio::buffer(send_buffer_), error);
     if (error == asio::error::would_block) {
-      writing_ = true;
+      write_pending_ = true;
       socket_.async_wait(tcp::socket::wait_write,
                          [self = shared_from_this()](error_code failed) {
-                           self->writing_ = false;
+                           self->write_pending_ = false;
                            if (!self->open_)
                              return;
                            if (failed)
@@ -163,27 +164,28 @@
       return;
     }
     if (error)
-      return FailLater(error.message());
-    queued_.erase(0, count);
+      return PostFailure(error.message());
+    send_buffer_.erase(0, count);
   }
-  if (queued_.empty())
-    queued_.shrink_to_fit();
-  if (!open_ || !closing_ || !queued_.empty())
+  if (send_buffer_.empty())
+    send_buffer_.shrink_to_fit();
+  if (!open_ || !closing_ || !send_buffer_.empty())
     return;
   error_code ignored;
   socket_.shutdown(tcp::socket::shutdown_send, ignored);
 }
 
-void LineSocket::CloseAfterWrites(std::chrono::milliseconds linger) {
+void LineSocket::CloseAfterWrites(
+    std::chrono::milliseconds peer_close_timeout) {
   if (!open_ || closing_)
     return;
   closing_ = true;
-  timer_.expires_after(linger);
+  timer_.expires_after(peer_close_timeout);
   timer_.async_wait([self = shared_from_this()](error_code canceled) {
     if (!canceled)
       self->Close();
   });
-  if (!writing_)
+  if (!write_pending_)
     Flush();
 }
 
@@ -191,15 +193,15 @@
   if (!open_)
     return;
   const auto closed = hooks_.closed;
-  Release();
+  CloseAndClearHooks();
   if (closed)
     closed(cause);
 }
 
 // Calls the hook from the event loop, since the hook may destroy objects that
 // the caller still uses.
-void LineSocket::FailLater(std::string cause) {
-  queued_.clear();
+void LineSocket::PostFailure(std::string cause) {
+  send_buffer_.clear();
   asio::post(socket_.get_executor(),
              [self = shared_from_this(), cause = std::move(cause)] {
                self->Fail(cause);
@@ -208,10 +210,10 @@
 
 void LineSocket::Close() {
   if (open_)
-    Release();
+    CloseAndClearHooks();
 }
 
-void LineSocket::Release() {
+void LineSocket::CloseAndClearHooks() {
   open_ = false;
   timer_.cancel();
   error_code ignored;
--- a/adapters/tests/line_socket_test.cc
+++ b/adapters/tests/line_socket_test.cc
@@ -13,8 +13,8 @@
 using std::chrono::milliseconds;
 
 // Two connected line sockets on loopback.
-struct Pair {
-  explicit Pair(std::size_t max_line = 64) {
+struct ConnectedPair {
+  explicit ConnectedPair(std::size_t max_line = 64) {
     tcp::acceptor acceptor(
         context, tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0));
     client = std::make_shared<LineSocket>(context, max_line);
@@ -29,8 +29,9 @@
   }
 
   LineSocket::Hooks HooksFor(std::vector<std::string>& lines) {
-    return {[&lines](std::string_view line) { lines.emplace_back(line); },
-            [this](const std::string& cause) { causes.push_back(cause); }};
+    return {
+        [&lines](std::string_view line) { lines.emplace_back(line); },
+        [this](const std::string& cause) { close_causes.push_back(cause); }};
   }
 
   void RunUntil(const std::function<bool()>& done) {
@@ -45,13 +46,13 @@
   std::shared_ptr<LineSocket> server;
   std::vector<std::string> client_lines;
   std::vector<std::string> server_lines;
-  std::vector<std::string> causes;
+  std::vector<std::string> close_causes;
 };
 
 }  // namespace
 
 TEST_CASE("Lines arrive whole, however they were cut", "[adapters]") {
-  Pair pair;
+  ConnectedPair pair;
   CHECK(pair.server_lines == std::vector<std::string>{"hello"});
   pair.client->Write("one\r\ntw");
   pair.RunUntil([&] { return pair.server_lines.size() == 2; });
@@ -61,17 +62,17 @@
 }
 
 TEST_CASE("A line without end closes the connection", "[adapters]") {
-  Pair pair;
+  ConnectedPair pair;
   pair.client->Write(std::string(200, 'x'));
-  pair.RunUntil([&] { return !pair.causes.empty(); });
-  CHECK(pair.causes.front() == "a line is too long");
+  pair.RunUntil([&] { return !pair.close_causes.empty(); });
+  CHECK(pair.close_causes.front() == "a line is too long");
 }
 
 TEST_CASE("Bytes written before a close are delivered", "[adapters]") {
-  Pair pair;
+  ConnectedPair pair;
   pair.server->Write("last\r\n");
   pair.server->CloseAfterWrites(milliseconds(500));
-  pair.RunUntil([&] { return !pair.causes.empty(); });
+  pair.RunUntil([&] { return !pair.close_causes.empty(); });
   CHECK(pair.client_lines == std::vector<std::string>{"last"});
 }
 
@@ -79,13 +80,13 @@
 // objects that the caller of Write() still uses.
 TEST_CASE("A send queue overflow is reported after the write returns",
           "[adapters]") {
-  Pair pair;
+  ConnectedPair pair;
   const std::string chunk(1 << 20, 'x');
   for (int i = 0; i < 32; ++i)
     pair.server->Write(chunk);
-  CHECK(pair.causes.empty());
-  pair.RunUntil([&] { return !pair.causes.empty(); });
-  CHECK(pair.causes.front() == "the peer does not read");
+  CHECK(pair.close_causes.empty());
+  pair.RunUntil([&] { return !pair.close_causes.empty(); });
+  CHECK(pair.close_causes.front() == "the peer does not read");
 }
 
 TEST_CASE("A failed connection attempt is reported", "[adapters]") {
