--- a/adapters/include/goldcrest/adapters/counters.h
+++ b/adapters/include/goldcrest/adapters/counters.h
@@ -58,7 +58,7 @@
 
   void Observe(Duration latency);
   //! Values in bucket `index`; the last bucket has no upper bound.
-  std::uint64_t InBucket(std::size_t index) const;
+  std::uint64_t BucketCount(std::size_t index) const;
   Duration Sum() const;
 
  private:
@@ -91,7 +91,7 @@
 
  private:
   struct Family;
-  Family& FamilyOf(std::string_view name, std::string_view type);
+  Family& FindOrCreateFamily(std::string_view name, std::string_view type);
 
   mutable std::mutex mutex_;
   std::map<std::string, std::unique_ptr<Family>, std::less<>> families_;
--- a/adapters/include/goldcrest/adapters/json.h
+++ b/adapters/include/goldcrest/adapters/json.h
@@ -19,7 +19,7 @@
   std::size_t max_depth = 16;
 };
 
-//! One fault of a document, for instance "objects[2].name" and "is missing".
+//! One error in a document, for instance "objects[2].name" and "is missing".
 struct JsonError {
   std::string field;  //!< Empty for the whole document.
   std::string problem;
@@ -32,13 +32,13 @@
 
 enum class UnknownFields { kReject, kIgnore };
 
-//! Reads typed fields of a JSON object. Faults are collected, not thrown: a
-//! faulty field yields the empty value and an error in Finish(). Not
+//! Reads typed fields of a JSON object. Errors are collected, not thrown: an
+//! invalid field yields the empty value and an error in Finish(). Not
 //! thread-safe.
 class JsonObject {
  public:
-  //! A text that is no JSON object within the limits has one error and no
-  //! fields, and missing fields are then not reported.
+  //! Text that is not a JSON object within the limits yields one error and no
+  //! fields; missing fields are then not reported.
   static JsonObject Parse(std::string_view text, JsonLimits limits = {});
 
   bool Has(std::string_view name) const;
@@ -68,7 +68,7 @@
   //! Any value, as JSON text.
   std::optional<std::string> OptionalRaw(std::string_view name);
 
-  //! Records a fault found by the caller, such as an unknown enumerator.
+  //! Records an error found by the caller, such as an unknown enumerator.
   void AddError(std::string_view name, std::string_view problem);
 
   //! Checks for unknown fields in all objects of the document that were read,
@@ -79,8 +79,10 @@
   struct Document;
   struct Node;
   explicit JsonObject(std::shared_ptr<Node> node);
-  const void* Find(std::string_view name);
-  void Fail(std::string_view name, std::string_view problem);
+  //! The field as boost::json::value; null if it is absent or null. Finish()
+  //! then treats the name as known.
+  const void* FindField(std::string_view name);
+  void RecordError(std::string_view name, std::string_view problem);
 
   std::shared_ptr<Node> node_;
 };
@@ -110,14 +112,16 @@
   JsonWriter& Element(std::string_view value);
   JsonWriter& ElementRaw(std::string_view json);
 
+  //! Returns the text and resets the writer.
   std::string Take();
 
  private:
-  void Comma();
-  void Name(std::string_view name);
+  //! Writes a comma unless the next item is the first one.
+  void WriteSeparator();
+  void WriteName(std::string_view name);
 
   std::string text_;
-  bool first_ = true;
+  bool is_first_item_ = true;
 };
 
 }  // namespace goldcrest::adapters
--- a/adapters/include/goldcrest/adapters/log_output.h
+++ b/adapters/include/goldcrest/adapters/log_output.h
@@ -17,11 +17,12 @@
  public:
   explicit LogOutput(int descriptor);
 
-  //! True when a line of this kind may be written now. `left_out` is set to the
-  //! number of lines of the kind that were not written since the last one.
+  //! True when a line of this kind may be written now. If so, `left_out`
+  //! is set to the number of lines of this kind suppressed since the last one.
   bool Admit(Time now, const std::string& kind, std::uint64_t& left_out);
 
-  //! Writes a whole line with its newline; drops it if the write would block.
+  //! Writes one line, which includes its newline; drops it if the write would
+  //! block.
   void Write(std::string_view line);
 
   //! Lines dropped because the write would have blocked.
@@ -40,7 +41,7 @@
   int descriptor_;
   std::uint64_t dropped_ = 0;
   std::uint64_t dropped_reported_ = 0;
-  bool last_write_partial_ = false;  // the last line was written in part
+  bool last_write_partial_ = false;  // only part of the last line was written
   std::map<std::string, Bucket> buckets_;
 };
 
--- a/adapters/include/goldcrest/adapters/logger.h
+++ b/adapters/include/goldcrest/adapters/logger.h
@@ -31,7 +31,7 @@
   LogLevel level = LogLevel::kInfo;
   std::string instance;
   std::string zone;
-  //! Takes one whole line with its newline; standard error when empty.
+  //! Receives each line with its newline; standard error when empty.
   std::function<void(std::string_view)> sink;
 };
 
--- a/adapters/include/goldcrest/adapters/scheduler.h
+++ b/adapters/include/goldcrest/adapters/scheduler.h
@@ -27,7 +27,8 @@
   //! Runs `task` once on a worker thread after `delay`.
   TimerId After(Duration delay, std::function<void()> task);
 
-  //! Runs `task` once at `time` of SystemClock, at once when that has passed.
+  //! Runs `task` once at `time` of SystemClock, immediately when that has
+  //! passed.
   TimerId At(Time time, std::function<void()> task);
 
   //! False when the task has started, has run or was cancelled before.
--- a/adapters/include/goldcrest/adapters/system_clock.h
+++ b/adapters/include/goldcrest/adapters/system_clock.h
@@ -7,8 +7,8 @@
 
 namespace goldcrest::adapters {
 
-//! The system's clocks. Time is CLOCK_BOOTTIME in microseconds: it never goes
-//! back, and it counts the time that the instance was suspended.
+//! The system's clocks. Time is CLOCK_BOOTTIME in microseconds: it never
+//! decreases, and it includes time during which the instance was suspended.
 class SystemClock {
  public:
   static Time Now();
--- a/adapters/src/counters.cc
+++ b/adapters/src/counters.cc
@@ -32,7 +32,7 @@
 }
 
 // Formats labels without braces: name="value",name="value".
-std::string Format(const Labels& labels) {
+std::string FormatLabels(const Labels& labels) {
   std::string text;
   for (const auto& [name, value] : labels) {
     if (!text.empty())
@@ -42,32 +42,34 @@
   return text;
 }
 
-std::string Braced(const std::string& labels) {
+std::string WrapInBraces(const std::string& labels) {
   return labels.empty() ? std::string() : "{" + labels + "}";
 }
 
-double Seconds(Duration duration) {
+double ToSeconds(Duration duration) {
   return std::chrono::duration<double>(duration).count();
 }
 
-void Append(fmt::memory_buffer& out,
-            const std::string& name,
-            const std::string& labels,
-            const Histogram& histogram) {
+void AppendHistogram(fmt::memory_buffer& out,
+                     const std::string& name,
+                     const std::string& labels,
+                     const Histogram& histogram) {
   const std::string separator = labels.empty() ? "" : ",";
-  std::uint64_t total = 0;
-  auto to = std::back_inserter(out);
+  std::uint64_t cumulative_count = 0;
+  auto inserter = std::back_inserter(out);
   for (std::size_t i = 0; i < Histogram::kBounds.size(); ++i) {
-    total += histogram.InBucket(i);
-    fmt::format_to(to, "{}_bucket{{{}{}le=\"{}\"}} {}\n", name, labels,
-                   separator, Seconds(Histogram::kBounds[i]), total);
+    cumulative_count += histogram.BucketCount(i);
+    fmt::format_to(inserter, "{}_bucket{{{}{}le=\"{}\"}} {}\n", name, labels,
+                   separator, ToSeconds(Histogram::kBounds[i]),
+                   cumulative_count);
   }
-  total += histogram.InBucket(Histogram::kBounds.size());
-  fmt::format_to(to, "{}_bucket{{{}{}le=\"+Inf\"}} {}\n", name, labels,
-                 separator, total);
-  fmt::format_to(to, "{}_sum{} {}\n", name, Braced(labels),
-                 Seconds(histogram.Sum()));
-  fmt::format_to(to, "{}_count{} {}\n", name, Braced(labels), total);
+  cumulative_count += histogram.BucketCount(Histogram::kBounds.size());
+  fmt::format_to(inserter, "{}_bucket{{{}{}le=\"+Inf\"}} {}\n", name, labels,
+                 separator, cumulative_count);
+  fmt::format_to(inserter, "{}_sum{} {}\n", name, WrapInBraces(labels),
+                 ToSeconds(histogram.Sum()));
+  fmt::format_to(inserter, "{}_count{} {}\n", name, WrapInBraces(labels),
+                 cumulative_count);
 }
 
 }  // namespace
@@ -90,7 +92,7 @@
   sum_micros_.fetch_add(latency.count(), std::memory_order_relaxed);
 }
 
-std::uint64_t Histogram::InBucket(std::size_t index) const {
+std::uint64_t Histogram::BucketCount(std::size_t index) const {
   return buckets_.at(index).load(std::memory_order_relaxed);
 }
 
@@ -98,8 +100,8 @@
   return Duration(sum_micros_.load(std::memory_order_relaxed));
 }
 
-Counters::Family& Counters::FamilyOf(std::string_view name,
-                                     std::string_view type) {
+Counters::Family& Counters::FindOrCreateFamily(std::string_view name,
+                                               std::string_view type) {
   auto found = families_.find(name);
   if (found == families_.end())
     found = families_.emplace(name, std::make_unique<Family>()).first;
@@ -114,17 +116,17 @@
 
 Counter& Counters::GetCounter(std::string_view name, const Labels& labels) {
   const std::lock_guard lock(mutex_);
-  return FamilyOf(name, kCounter).counters[Format(labels)];
+  return FindOrCreateFamily(name, kCounter).counters[FormatLabels(labels)];
 }
 
 Gauge& Counters::GetGauge(std::string_view name, const Labels& labels) {
   const std::lock_guard lock(mutex_);
-  return FamilyOf(name, kGauge).gauges[Format(labels)];
+  return FindOrCreateFamily(name, kGauge).gauges[FormatLabels(labels)];
 }
 
 Histogram& Counters::GetHistogram(std::string_view name, const Labels& labels) {
   const std::lock_guard lock(mutex_);
-  return FamilyOf(name, kHistogram).histograms[Format(labels)];
+  return FindOrCreateFamily(name, kHistogram).histograms[FormatLabels(labels)];
 }
 
 void Counters::Describe(std::string_view name, std::string_view help) {
@@ -138,19 +140,22 @@
 std::string Counters::Render() const {
   const std::lock_guard lock(mutex_);
   fmt::memory_buffer out;
-  auto to = std::back_inserter(out);
+  auto inserter = std::back_inserter(out);
   for (const auto& [name, family] : families_) {
     if (family->type.empty())
       continue;
     if (!family->help.empty())
-      fmt::format_to(to, "# HELP {} {}\n", name, Escape(family->help, false));
-    fmt::format_to(to, "# TYPE {} {}\n", name, family->type);
+      fmt::format_to(inserter, "# HELP {} {}\n", name,
+                     Escape(family->help, false));
+    fmt::format_to(inserter, "# TYPE {} {}\n", name, family->type);
     for (const auto& [labels, counter] : family->counters)
-      fmt::format_to(to, "{}{} {}\n", name, Braced(labels), counter.Value());
+      fmt::format_to(inserter, "{}{} {}\n", name, WrapInBraces(labels),
+                     counter.Value());
     for (const auto& [labels, gauge] : family->gauges)
-      fmt::format_to(to, "{}{} {}\n", name, Braced(labels), gauge.Value());
+      fmt::format_to(inserter, "{}{} {}\n", name, WrapInBraces(labels),
+                     gauge.Value());
     for (const auto& [labels, histogram] : family->histograms)
-      Append(out, name, labels, histogram);
+      AppendHistogram(out, name, labels, histogram);
   }
   return fmt::to_string(out);
 }
--- a/adapters/src/io_pool.cc
+++ b/adapters/src/io_pool.cc
@@ -11,10 +11,12 @@
 
 struct IoPool::Impl {
   explicit Impl(std::size_t threads)
-      : context(static_cast<int>(threads)), work(context.get_executor()) {}
+      : context(static_cast<int>(threads)),
+        work_guard(context.get_executor()) {}
 
   boost::asio::io_context context;
-  boost::asio::executor_work_guard<boost::asio::io_context::executor_type> work;
+  boost::asio::executor_work_guard<boost::asio::io_context::executor_type>
+      work_guard;
   std::vector<std::thread> threads;
 };
 
--- a/adapters/src/json.cc
+++ b/adapters/src/json.cc
@@ -20,7 +20,7 @@
   Document* document = nullptr;          // owns this node
   const json::object* object = nullptr;  // null if the text is invalid
   std::string path;                      // ends in a dot unless empty
-  std::set<std::string, std::less<>> known;
+  std::set<std::string, std::less<>> requested_fields;
 };
 
 // State shared by the nested objects of one JSON text.
@@ -48,7 +48,8 @@
   Node& node = document->nodes.emplace_back(Node{.document = document.get()});
   JsonObject object(std::shared_ptr<Node>(document, &node));
   if (text.size() > limits.max_bytes) {
-    object.Fail("", fmt::format("is longer than {} bytes", limits.max_bytes));
+    object.RecordError(
+        "", fmt::format("is longer than {} bytes", limits.max_bytes));
     return object;
   }
   json::parse_options options;
@@ -56,30 +57,30 @@
   json::error_code error;
   document->root = json::parse(text, error, {}, options);
   if (error) {
-    object.Fail("", "is not valid JSON: " + error.message());
+    object.RecordError("", "is not valid JSON: " + error.message());
     return object;
   }
   node.object = document->root.if_object();
   if (node.object == nullptr)
-    object.Fail("", "is not a JSON object");
+    object.RecordError("", "is not a JSON object");
   return object;
 }
 
-const void* JsonObject::Find(std::string_view name) {
-  node_->known.emplace(name);
+const void* JsonObject::FindField(std::string_view name) {
+  node_->requested_fields.emplace(name);
   if (node_->object == nullptr)
     return nullptr;
   const json::value* value = node_->object->if_contains(name);
   return value == nullptr || value->is_null() ? nullptr : value;
 }
 
-void JsonObject::Fail(std::string_view name, std::string_view problem) {
+void JsonObject::RecordError(std::string_view name, std::string_view problem) {
   node_->document->errors.push_back(
       {node_->path + std::string(name), std::string(problem)});
 }
 
 void JsonObject::AddError(std::string_view name, std::string_view problem) {
-  Fail(name, problem);
+  RecordError(name, problem);
 }
 
 bool JsonObject::Has(std::string_view name) const {
@@ -92,22 +93,22 @@
 std::string JsonObject::RequiredString(std::string_view name,
                                        std::size_t max_bytes) {
   if (node_->object != nullptr && !Has(name))
-    Fail(name, "is missing");
+    RecordError(name, "is missing");
   return OptionalString(name, max_bytes).value_or("");
 }
 
 std::optional<std::string> JsonObject::OptionalString(std::string_view name,
                                                       std::size_t max_bytes) {
-  const auto* value = static_cast<const json::value*>(Find(name));
+  const auto* value = static_cast<const json::value*>(FindField(name));
   if (value == nullptr)
     return std::nullopt;
   const json::string* text = value->if_string();
   if (text == nullptr) {
-    Fail(name, "is not a string");
+    RecordError(name, "is not a string");
     return std::nullopt;
   }
   if (text->size() > max_bytes) {
-    Fail(name, fmt::format("is longer than {} bytes", max_bytes));
+    RecordError(name, fmt::format("is longer than {} bytes", max_bytes));
     return std::nullopt;
   }
   return std::string(text->data(), text->size());
@@ -117,25 +118,26 @@
                                          std::int64_t minimum,
                                          std::int64_t maximum) {
   if (node_->object != nullptr && !Has(name))
-    Fail(name, "is missing");
+    RecordError(name, "is missing");
   return OptionalInteger(name, minimum, maximum).value_or(0);
 }
 
 std::optional<std::int64_t> JsonObject::OptionalInteger(std::string_view name,
                                                         std::int64_t minimum,
                                                         std::int64_t maximum) {
-  const auto* value = static_cast<const json::value*>(Find(name));
+  const auto* value = static_cast<const json::value*>(FindField(name));
   if (value == nullptr)
     return std::nullopt;
   json::error_code error;
   const bool is_integer = value->is_int64() || value->is_uint64();
   if (!is_integer) {
-    Fail(name, "is not an integer");
+    RecordError(name, "is not an integer");
     return std::nullopt;
   }
   const auto number = value->to_number<std::int64_t>(error);
   if (error || number < minimum || number > maximum) {
-    Fail(name, fmt::format("is not between {} and {}", minimum, maximum));
+    RecordError(name,
+                fmt::format("is not between {} and {}", minimum, maximum));
     return std::nullopt;
   }
   return number;
@@ -144,46 +146,47 @@
 std::optional<double> JsonObject::OptionalNumber(std::string_view name,
                                                  double minimum,
                                                  double maximum) {
-  const auto* value = static_cast<const json::value*>(Find(name));
+  const auto* value = static_cast<const json::value*>(FindField(name));
   if (value == nullptr)
     return std::nullopt;
   if (!value->is_number()) {
-    Fail(name, "is not a number");
+    RecordError(name, "is not a number");
     return std::nullopt;
   }
   json::error_code error;
   const auto number = value->to_number<double>(error);
   if (error || !(number >= minimum && number <= maximum)) {
-    Fail(name, fmt::format("is not between {} and {}", minimum, maximum));
+    RecordError(name,
+                fmt::format("is not between {} and {}", minimum, maximum));
     return std::nullopt;
   }
   return number;
 }
 
 std::optional<bool> JsonObject::OptionalBool(std::string_view name) {
-  const auto* value = static_cast<const json::value*>(Find(name));
+  const auto* value = static_cast<const json::value*>(FindField(name));
   if (value == nullptr)
     return std::nullopt;
   if (!value->is_bool()) {
-    Fail(name, "is not true or false");
+    RecordError(name, "is not true or false");
     return std::nullopt;
   }
   return value->get_bool();
 }
 
 std::optional<Labels> JsonObject::OptionalLabels(std::string_view name) {
-  const auto* value = static_cast<const json::value*>(Find(name));
+  const auto* value = static_cast<const json::value*>(FindField(name));
   if (value == nullptr)
     return std::nullopt;
   if (!value->is_object()) {
-    Fail(name, "is not an object");
+    RecordError(name, "is not an object");
     return std::nullopt;
   }
   Labels labels;
   for (const auto& member : value->get_object()) {
     if (!member.value().is_string()) {
-      Fail(fmt::format("{}.{}", name, std::string_view(member.key())),
-           "is not a string");
+      RecordError(fmt::format("{}.{}", name, std::string_view(member.key())),
+                  "is not a string");
       continue;
     }
     labels.emplace(member.key(), std::string_view(member.value().get_string()));
@@ -192,11 +195,11 @@
 }
 
 std::optional<JsonObject> JsonObject::OptionalObject(std::string_view name) {
-  const auto* value = static_cast<const json::value*>(Find(name));
+  const auto* value = static_cast<const json::value*>(FindField(name));
   if (value == nullptr)
     return std::nullopt;
   if (!value->is_object()) {
-    Fail(name, "is not an object");
+    RecordError(name, "is not an object");
     return std::nullopt;
   }
   Node& node = node_->document->nodes.emplace_back(
@@ -208,11 +211,12 @@
 
 std::vector<JsonObject> JsonObject::OptionalObjects(std::string_view name,
                                                     std::size_t max_count) {
-  const auto* value = static_cast<const json::value*>(Find(name));
+  const auto* value = static_cast<const json::value*>(FindField(name));
   if (value == nullptr)
     return {};
   if (!value->is_array() || value->get_array().size() > max_count) {
-    Fail(name, fmt::format("is not an array of at most {} objects", max_count));
+    RecordError(
+        name, fmt::format("is not an array of at most {} objects", max_count));
     return {};
   }
   std::vector<JsonObject> objects;
@@ -220,7 +224,7 @@
   for (const json::value& element : value->get_array()) {
     const std::string path = fmt::format("{}[{}]", name, index++);
     if (!element.is_object()) {
-      Fail(path, "is not an object");
+      RecordError(path, "is not an object");
       continue;
     }
     Node& node = node_->document->nodes.emplace_back(
@@ -235,11 +239,12 @@
 std::vector<std::string> JsonObject::OptionalStrings(std::string_view name,
                                                      std::size_t max_count,
                                                      std::size_t max_bytes) {
-  const auto* value = static_cast<const json::value*>(Find(name));
+  const auto* value = static_cast<const json::value*>(FindField(name));
   if (value == nullptr)
     return {};
   if (!value->is_array() || value->get_array().size() > max_count) {
-    Fail(name, fmt::format("is not an array of at most {} strings", max_count));
+    RecordError(
+        name, fmt::format("is not an array of at most {} strings", max_count));
     return {};
   }
   std::vector<std::string> texts;
@@ -247,7 +252,8 @@
   for (const json::value& element : value->get_array()) {
     const std::string path = fmt::format("{}[{}]", name, index++);
     if (!element.is_string() || element.get_string().size() > max_bytes) {
-      Fail(path, fmt::format("is not a string of at most {} bytes", max_bytes));
+      RecordError(
+          path, fmt::format("is not a string of at most {} bytes", max_bytes));
       continue;
     }
     texts.emplace_back(std::string_view(element.get_string()));
@@ -256,7 +262,7 @@
 }
 
 std::optional<std::string> JsonObject::OptionalRaw(std::string_view name) {
-  const auto* value = static_cast<const json::value*>(Find(name));
+  const auto* value = static_cast<const json::value*>(FindField(name));
   if (value == nullptr)
     return std::nullopt;
   return json::serialize(*value);
@@ -270,7 +276,7 @@
       continue;
     for (const auto& member : *node.object) {
       const std::string_view name = member.key();
-      if (node.known.contains(name))
+      if (node.requested_fields.contains(name))
         continue;
       node_->document->errors.push_back(
           {node.path + std::string(name), "is unknown"});
--- a/adapters/src/json_writer.cc
+++ b/adapters/src/json_writer.cc
@@ -16,55 +16,55 @@
 
 }  // namespace
 
-void JsonWriter::Comma() {
-  if (!first_)
+void JsonWriter::WriteSeparator() {
+  if (!is_first_item_)
     text_.push_back(',');
-  first_ = false;
+  is_first_item_ = false;
 }
 
-void JsonWriter::Name(std::string_view name) {
-  Comma();
+void JsonWriter::WriteName(std::string_view name) {
+  WriteSeparator();
   text_ += Quote(name);
   text_.push_back(':');
 }
 
 JsonWriter& JsonWriter::BeginObject() {
-  Comma();
+  WriteSeparator();
   text_.push_back('{');
-  first_ = true;
+  is_first_item_ = true;
   return *this;
 }
 
 JsonWriter& JsonWriter::BeginObject(std::string_view name) {
-  Name(name);
+  WriteName(name);
   text_.push_back('{');
-  first_ = true;
+  is_first_item_ = true;
   return *this;
 }
 
 JsonWriter& JsonWriter::EndObject() {
   text_.push_back('}');
-  first_ = false;
+  is_first_item_ = false;
   return *this;
 }
 
 JsonWriter& JsonWriter::BeginArray() {
-  Comma();
+  WriteSeparator();
   text_.push_back('[');
-  first_ = true;
+  is_first_item_ = true;
   return *this;
 }
 
 JsonWriter& JsonWriter::BeginArray(std::string_view name) {
-  Name(name);
+  WriteName(name);
   text_.push_back('[');
-  first_ = true;
+  is_first_item_ = true;
   return *this;
 }
 
 JsonWriter& JsonWriter::EndArray() {
   text_.push_back(']');
-  first_ = false;
+  is_first_item_ = false;
   return *this;
 }
 
@@ -99,7 +99,7 @@
 
 JsonWriter& JsonWriter::MemberRaw(std::string_view name,
                                   std::string_view json) {
-  Name(name);
+  WriteName(name);
   text_ += json;
   return *this;
 }
@@ -109,13 +109,13 @@
 }
 
 JsonWriter& JsonWriter::ElementRaw(std::string_view json) {
-  Comma();
+  WriteSeparator();
   text_ += json;
   return *this;
 }
 
 std::string JsonWriter::Take() {
-  first_ = true;
+  is_first_item_ = true;
   return std::exchange(text_, {});
 }
 
--- a/adapters/src/log_output.cc
+++ b/adapters/src/log_output.cc
@@ -25,11 +25,12 @@
                       std::uint64_t& left_out) {
   const auto [it, inserted] = buckets_.try_emplace(kind);
   Bucket& bucket = it->second;
-  const Duration full = kCreditPerLine * kBurstLines;
+  const Duration max_credit = kCreditPerLine * kBurstLines;
   if (inserted)
-    bucket.credit = full;
+    bucket.credit = max_credit;
   else
-    bucket.credit = std::min(full, bucket.credit + (now - bucket.refilled_at));
+    bucket.credit =
+        std::min(max_credit, bucket.credit + (now - bucket.refilled_at));
   bucket.refilled_at = now;
   if (bucket.credit < kCreditPerLine) {
     ++bucket.left_out;
--- a/adapters/src/scheduler.cc
+++ b/adapters/src/scheduler.cc
@@ -42,14 +42,14 @@
           .first->second;
   timer.async_wait([impl = std::weak_ptr(impl_), id, task = std::move(task)](
                        const boost::system::error_code& error) {
-    const auto alive = impl.lock();
-    if (error || !alive)
+    const auto locked_impl = impl.lock();
+    if (error || !locked_impl)
       return;
     {
       // Cancel() and the destructor also remove the entry. The task runs only
       // if the entry is still present here.
-      const std::lock_guard guard(alive->mutex);
-      if (alive->timers.erase(id) == 0)
+      const std::lock_guard guard(locked_impl->mutex);
+      if (locked_impl->timers.erase(id) == 0)
         return;
     }
     task();
--- a/adapters/src/system_clock.cc
+++ b/adapters/src/system_clock.cc
@@ -26,10 +26,10 @@
 }
 
 std::chrono::steady_clock::time_point SystemClock::ToSteady(Time time) {
-  const Duration left = time >= kNever ? kMaxFiniteWait : time - Now();
-  if (left >= kMaxFiniteWait)
+  const Duration remaining = time >= kNever ? kMaxFiniteWait : time - Now();
+  if (remaining >= kMaxFiniteWait)
     return std::chrono::steady_clock::time_point::max();
-  return std::chrono::steady_clock::now() + left;
+  return std::chrono::steady_clock::now() + remaining;
 }
 
 }  // namespace goldcrest::adapters
--- a/adapters/tests/log_output_test.cc
+++ b/adapters/tests/log_output_test.cc
@@ -13,7 +13,7 @@
 
 constexpr Time kStart = TimeFromMicros(1'000'000);
 
-std::string Drain(int descriptor) {
+std::string ReadAvailable(int descriptor) {
   std::string text;
   std::array<char, 65'536> buffer{};
   ::fcntl(descriptor, F_SETFL, O_NONBLOCK);
@@ -34,10 +34,10 @@
   for (int i = 0; i < 1'000; ++i)
     output.Write(line + "\n");
   CHECK(output.Dropped() > 0);
-  const std::string written = Drain(pipe_ends[0]);
+  const std::string written = ReadAvailable(pipe_ends[0]);
   CHECK(written.size() < 1'000 * line.size());
   output.Write("event=last\n");
-  CHECK_THAT(Drain(pipe_ends[0]),
+  CHECK_THAT(ReadAvailable(pipe_ends[0]),
              Catch::Contains("event=log_lines_dropped count=") &&
                  Catch::Contains("event=last"));
   ::close(pipe_ends[0]);
