--- a/bench/bench.h
+++ b/bench/bench.h
@@ -3,27 +3,31 @@
 
 namespace goldcrest::bench {
 
-//! Wrongful refusals of leased shares against a static split. Virtual time; the
-//! same figures on each run.
+//! Compares the wrongful refusals of leased quota shares with those of a static
+//! split. Runs in virtual time, so each run prints the same figures. Returns 1
+//! if the leased shares ever exceeded a customer's limit, else 0.
 int RunQuota();
 
-//! Waiting times of the other customers while one exceeds its rate. Virtual
-//! time, but for the cost of the queue's operations.
+//! Measures the waiting times of customers within their rates while another one
+//! exceeds its rate. Runs in virtual time, except for the cost of the queue
+//! operations, which is wall time. Returns 0.
 int RunFairness();
 
-//! Processor time, memory, control bytes and recovery against the number of
-//! customers, keys, instances and changes.
+//! Measures how processor time, memory, control traffic and recovery time grow
+//! with the number of customers, keys, instances and changes. Returns 0.
 int RunCost();
 
-//! Gap in acknowledged writes when a primary, the control leader or the group's
-//! coordinator is lost. Virtual time.
+//! Measures the gap in acknowledged writes when the primary, the control leader
+//! or the group's coordinator fails. Runs in virtual time. Returns 1 if a run
+//! did not recover or a gap reached 5 s, else 0.
 int RunFailover();
 
-//! Share of reads served by replicas, against the best that any rule could
-//! reach and always-primary reads. Virtual time.
+//! Compares the share of reads served by replicas with the best share that any
+//! routing rule could reach and with reading from the primary only. Runs in
+//! virtual time. Returns 0.
 int RunReads();
 
-//! The part of RunCost() that concerns control.
+//! Measures the control plane; part of RunCost().
 void RunControlCost();
 
 }  // namespace goldcrest::bench
--- a/bench/control_cost.cc
+++ b/bench/control_cost.cc
@@ -28,22 +28,23 @@
 using std::chrono::seconds;
 
 constexpr int kBusyCustomers = 10;
-constexpr std::size_t kPerChange = 10'000;
-constexpr Duration kLength = seconds(10);  // over which bytes are counted
+constexpr std::size_t kObjectsPerChange = 10'000;
+constexpr Duration kTrafficCountingDuration = seconds(10);
 
-messages::Command RegisterInstance(std::size_t number) {
+messages::Command MakeRegisterInstance(std::size_t number) {
   messages::Command command;
-  command.__set_register_instance(Instance(number));
+  command.__set_register_instance(MakeInstance(number));
   return command;
 }
 
-messages::Command RegisterEndpoint(std::size_t number) {
+messages::Command MakeRegisterEndpoint(std::size_t number) {
   messages::Command command;
-  command.__set_register_endpoint(Endpoint(number));
+  command.__set_register_endpoint(MakeEndpoint(number));
   return command;
 }
 
-messages::Command Assign(std::size_t group, std::size_t instance) {
+messages::Command MakeAssignCoordinator(std::size_t group,
+                                        std::size_t instance) {
   messages::AssignCoordinator assign;
   assign.group = GroupName(group);
   assign.coordinator = InstanceName(instance);
@@ -54,50 +55,54 @@
   return command;
 }
 
-messages::Command Change(std::int64_t number) {
+// Change 0 adds the customer to which all later changes add a key each.
+messages::Command MakeChangeCommand(std::int64_t number) {
   messages::Change change;
   change.change_id = fmt::format("change-of-the-committee-{:06}", number);
   change.base_revision = number;
   change.author = "committee";
   change.objects.push_back(number == 0
-                               ? Customer(CustomerName(0))
-                               : Key(static_cast<std::size_t>(number), 0));
+                               ? MakeCustomer(CustomerName(0))
+                               : MakeKey(static_cast<std::size_t>(number), 0));
   messages::Command command;
   command.__set_change(change);
   return command;
 }
 
-// Control's state with `instances` entries that coordinate `groups` groups.
-void Fill(control::ControlState& state,
-          std::size_t instances,
-          std::size_t groups,
-          std::size_t customers) {
-  for (std::size_t first = 0; first < 2 * customers; first += kPerChange) {
+// Adds `customers` customers with one key each, `instances` entries and
+// `groups` groups of three endpoints, with the groups' coordinators spread over
+// the entries.
+void FillState(control::ControlState& state,
+               std::size_t instances,
+               std::size_t groups,
+               std::size_t customers) {
+  for (std::size_t first_object = 0; first_object < 2 * customers;
+       first_object += kObjectsPerChange) {
     messages::Command command;
-    command.change.change_id = fmt::format("customers-{}", first);
+    command.change.change_id = fmt::format("customers-{}", first_object);
     command.change.base_revision = state.configuration().Revision();
     command.change.author = "committee";
-    for (std::size_t i = first; i < std::min(first + kPerChange, 2 * customers);
-         ++i) {
-      command.change.objects.push_back(i < customers
-                                           ? Customer(CustomerName(i))
-                                           : Key(i - customers, i - customers));
+    for (std::size_t i = first_object;
+         i < std::min(first_object + kObjectsPerChange, 2 * customers); ++i) {
+      command.change.objects.push_back(
+          i < customers ? MakeCustomer(CustomerName(i))
+                        : MakeKey(i - customers, i - customers));
     }
     command.__isset.change = true;
     state.Apply(command);
   }
   for (std::size_t i = 0; i < instances; ++i)
-    state.Apply(RegisterInstance(i));
+    state.Apply(MakeRegisterInstance(i));
   for (std::size_t i = 0; i < 3 * groups; ++i)
-    state.Apply(RegisterEndpoint(i));
+    state.Apply(MakeRegisterEndpoint(i));
   for (std::size_t i = 0; i < groups; ++i)
-    state.Apply(Assign(i, i % instances));
+    state.Apply(MakeAssignCoordinator(i, i % instances));
 }
 
-messages::EntryReport IdleReport(std::size_t instance,
-                                 const control::ControlState& state) {
+messages::EntryReport MakeIdleReport(std::size_t instance,
+                                     const control::ControlState& state) {
   messages::EntryReport report;
-  report.instance = Instance(instance);
+  report.instance = MakeInstance(instance);
   report.applied_revision = state.configuration().Revision();
   report.applied_groups_revision = state.groups_revision();
   report.shares.resize(1);
@@ -111,45 +116,50 @@
                    std::size_t groups,
                    std::size_t customers) {
   control::ControlState state;
-  Fill(state, instances, groups, customers);
+  FillState(state, instances, groups, customers);
   Time now = TimeFromMicros(1'000'000);
   control::Leader leader(
       &state, "control-1", 1, control::LeaderOptions(),
       [] { return std::string(32, 's'); }, now);
   std::vector<messages::EntryReport> reports;
   for (std::size_t i = 0; i < instances; ++i)
-    reports.push_back(IdleReport(i, state));
-  std::size_t sent = 0;
+    reports.push_back(MakeIdleReport(i, state));
+  std::size_t sent_messages = 0;
   for (const messages::EntryReport& report : reports)
-    sent += leader.OnReport(report, now).messages.size();
-  std::size_t next = 0;
-  const double report = MicrosPerCall([&] {
-    next = (next + 1) % instances;
-    reports[next].sequence += 1;
-    sent += leader.OnReport(reports[next], now).messages.size();
+    sent_messages += leader.OnReport(report, now).messages.size();
+  std::size_t report_index = 0;
+  const double report_micros = MicrosPerCall([&] {
+    report_index = (report_index + 1) % instances;
+    reports[report_index].sequence += 1;
+    sent_messages +=
+        leader.OnReport(reports[report_index], now).messages.size();
   });
-  const double tick = MicrosPerCall(
-      [&] { sent += leader.Tick(1'700'000'000'000, now).messages.size(); });
-  // The share of a core at four reports an entry and 100 ticks a second.
-  const double core =
-      (report * 4 * static_cast<double>(instances) + tick * 100) / 1e6;
-  messages::EntryReport behind = reports[0];
-  behind.applied_groups_revision -= 1;
-  const auto update = leader.OnReport(behind, now).messages.front().second;
-  const std::string bytes = messages::Encode(update);
-  std::size_t merged = 0;
-  const double merge = MicrosPerCall([&] {
+  const double tick_micros = MicrosPerCall([&] {
+    sent_messages += leader.Tick(1'700'000'000'000, now).messages.size();
+  });
+  // Load in processor cores at 4 reports a second from each entry and 100 ticks
+  // a second.
+  const double load_cores =
+      (report_micros * 4 * static_cast<double>(instances) + tick_micros * 100) /
+      1e6;
+  messages::EntryReport stale_report = reports[0];
+  stale_report.applied_groups_revision -= 1;
+  const auto update =
+      leader.OnReport(stale_report, now).messages.front().second;
+  const std::string encoded_update = messages::Encode(update);
+  std::size_t merged_updates = 0;
+  const double merge_micros = MicrosPerCall([&] {
     entry::ControlView view;
-    messages::ControlUpdate full = update.update;
-    full.base_groups_revision = 0;
-    merged += view.Merge(full) ? 1 : 0;
+    messages::ControlUpdate full_update = update.update;
+    full_update.base_groups_revision = 0;
+    merged_updates += view.Merge(full_update) ? 1 : 0;
   });
   const std::string snapshot = messages::Encode(state.Save());
   fmt::print(
       "{:>9} {:>7} {:>9} | {:>10.1f} {:>9.1f} {:>12.4f} | {:>12} {:>10.0f} | "
       "{:>10} {:>8}\n",
-      instances, groups, customers, report, tick, core, bytes.size(), merge,
-      snapshot.size(),
+      instances, groups, customers, report_micros, tick_micros, load_cores,
+      encoded_update.size(), merge_micros, snapshot.size(),
       messages::DecodeControlSnapshot(snapshot) ? "yes" : "NO");
 }
 
@@ -171,23 +181,23 @@
 
 void MeasureCodec() {
   control::ControlState state;
-  Fill(state, 11, 33, 0);
+  FillState(state, 11, 33, 0);
   messages::PeerMessage report;
-  report.__set_report(IdleReport(1, state));
-  std::size_t bytes = 0;
+  report.__set_report(MakeIdleReport(1, state));
+  std::size_t total_bytes = 0;
   fmt::print("\nCodec, in us a message\n\n{:<34} {:>8} | {:>8} {:>8}\n",
              "message", "bytes", "encode", "decode");
-  const auto print = [&](std::string_view what,
-                         const messages::PeerMessage& message) {
-    const std::string text = messages::Encode(message);
-    const double encode =
-        MicrosPerCall([&] { bytes += messages::Encode(message).size(); });
-    const double decode = MicrosPerCall(
-        [&] { bytes += messages::DecodePeerMessage(text) ? 1 : 0; });
-    fmt::print("{:<34} {:>8} | {:>8.2f} {:>8.2f}\n", what, text.size(), encode,
-               decode);
+  const auto print_row = [&](std::string_view label,
+                             const messages::PeerMessage& message) {
+    const std::string encoded = messages::Encode(message);
+    const double encode_micros =
+        MicrosPerCall([&] { total_bytes += messages::Encode(message).size(); });
+    const double decode_micros = MicrosPerCall(
+        [&] { total_bytes += messages::DecodePeerMessage(encoded) ? 1 : 0; });
+    fmt::print("{:<34} {:>8} | {:>8.2f} {:>8.2f}\n", label, encoded.size(),
+               encode_micros, decode_micros);
   };
-  print("report, idle, 3 groups", report);
+  print_row("report, idle, 3 groups", report);
   for (int i = 0; i < kBusyCustomers; ++i) {
     messages::ShareReport share;
     share.customer = CustomerName(static_cast<std::size_t>(i));
@@ -199,82 +209,90 @@
     share.demand_micros = 12'345'678;
     report.report.shares.push_back(share);
   }
-  print("report, 10 shares, 3 groups", report);
+  print_row("report, 10 shares, 3 groups", report);
   messages::PeerMessage ping;
   ping.__set_ping(123'456);
-  print("ping", ping);
+  print_row("ping", ping);
 }
 
-// ---- bytes on the wire, from fleets in virtual time ----------------------
+// ---- control traffic of fleets in virtual time ---------------------------
 
 struct Traffic {
-  double reports = 0;  // bytes a second an entry
-  double updates = 0;
-  double consensus = 0;  // bytes a second of the whole fleet
+  double report_bytes = 0;  // bytes a second for each entry
+  double update_bytes = 0;
+  double consensus_bytes = 0;  // bytes a second of the whole fleet
 };
 
 Traffic CountTraffic(sessions::Fleet& fleet,
                      const std::function<void(Duration)>& run) {
   const auto before = fleet.control_bytes();
   fleet.CountControlBytes(true);
-  run(kLength);
+  run(kTrafficCountingDuration);
   fleet.CountControlBytes(false);
-  const double entries = static_cast<double>(fleet.instances().size());
-  const double length = std::chrono::duration<double>(kLength).count();
-  const auto rate = [&](const std::string& kind) {
-    const auto now = fleet.control_bytes().find(kind);
-    const auto old = before.find(kind);
+  const double entry_count = static_cast<double>(fleet.instances().size());
+  const double seconds_counted =
+      std::chrono::duration<double>(kTrafficCountingDuration).count();
+  const auto bytes_per_second = [&](const std::string& kind) {
+    const auto current = fleet.control_bytes().find(kind);
+    const auto previous = before.find(kind);
     return (static_cast<double>(
-                now == fleet.control_bytes().end() ? 0 : now->second) -
-            static_cast<double>(old == before.end() ? 0 : old->second)) /
-           length;
+                current == fleet.control_bytes().end() ? 0 : current->second) -
+            static_cast<double>(previous == before.end() ? 0
+                                                         : previous->second)) /
+           seconds_counted;
   };
-  return {rate("report") / entries, rate("update") / entries,
-          rate("consensus")};
+  return {bytes_per_second("report") / entry_count,
+          bytes_per_second("update") / entry_count,
+          bytes_per_second("consensus")};
 }
 
-void PrintTraffic(std::string_view what,
+void PrintTraffic(std::string_view label,
                   std::size_t entries,
                   std::size_t groups,
                   const Traffic& traffic,
-                  double base) {
-  const double all = traffic.reports + traffic.updates;
+                  double baseline) {
+  const double total = traffic.report_bytes + traffic.update_bytes;
   fmt::print(
       "{:<30} {:>7} {:>6} | {:>8.0f} {:>8.0f} {:>8.0f} {:>8.0f} | "
       "{:>9.0f}\n",
-      what, entries, groups, traffic.reports, traffic.updates, all, all - base,
-      traffic.consensus);
+      label, entries, groups, traffic.report_bytes, traffic.update_bytes, total,
+      total - baseline, traffic.consensus_bytes);
 }
 
-// Ten customers send at each entry, 20 requests a second in all.
-void RunBusy(sessions::Fleet& fleet, Duration length) {
+// Each entry receives 20 requests a second, from kBusyCustomers customers in
+// turn.
+void RunBusyCustomers(sessions::Fleet& fleet, Duration length) {
   const auto names = fleet.instances();
   const Time end = fleet.now() + length;
   for (int number = 0; fleet.now() < end; ++number) {
     for (const std::string& name : names) {
       fleet.Call(fmt::format("{}-{}", name, number), name,
-                 ReadBy(static_cast<std::size_t>(number % kBusyCustomers),
-                        "bookings"));
+                 MakeRead(static_cast<std::size_t>(number % kBusyCustomers),
+                          "bookings"));
     }
     fleet.Run(milliseconds(50));
   }
 }
 
-double IdleBytes(int entries, int groups) {
+// Prints and returns the report and update bytes a second for each entry of an
+// idle fleet. The first call's figure is the baseline of the rows that it and
+// later calls print.
+double MeasureIdleTraffic(int entries, int groups) {
   sessions::Fleet fleet(entries, 3);
   for (int i = 1; i < groups; ++i)
     fleet.AddGroup(GroupName(static_cast<std::size_t>(i)), 3, 3);
-  StartFleet(fleet, kBusyCustomers, 3, Load{.rate = 1'000, .burst = 1'000});
+  StartFleet(fleet, kBusyCustomers, 3,
+             CustomerPolicy{.rate = 1'000, .burst = 1'000});
   fleet.Run(seconds(5));
   const Traffic traffic =
       CountTraffic(fleet, [&](Duration length) { fleet.Run(length); });
-  static double first = 0;
-  const double all = traffic.reports + traffic.updates;
-  if (first == 0)
-    first = all;
+  static double first_total = 0;
+  const double total = traffic.report_bytes + traffic.update_bytes;
+  if (first_total == 0)
+    first_total = total;
   PrintTraffic("idle", static_cast<std::size_t>(entries),
-               static_cast<std::size_t>(groups), traffic, first);
-  return all;
+               static_cast<std::size_t>(groups), traffic, first_total);
+  return total;
 }
 
 void MeasureTraffic() {
@@ -284,39 +302,42 @@
       "| {:>9}\n",
       "state", "entries", "groups", "reports", "updates", "all", "more",
       "log, all");
-  const double idle = IdleBytes(11, 1);
-  IdleBytes(5, 1);
-  IdleBytes(22, 1);
-  IdleBytes(11, 12);
-  IdleBytes(11, 34);
+  const double idle_total = MeasureIdleTraffic(11, 1);
+  MeasureIdleTraffic(5, 1);
+  MeasureIdleTraffic(22, 1);
+  MeasureIdleTraffic(11, 12);
+  MeasureIdleTraffic(11, 34);
   sessions::Fleet fleet(11, 3);
-  StartFleet(fleet, kBusyCustomers, 3, Load{.rate = 1'000, .burst = 1'000});
-  RunBusy(fleet, seconds(5));
+  StartFleet(fleet, kBusyCustomers, 3,
+             CustomerPolicy{.rate = 1'000, .burst = 1'000});
+  RunBusyCustomers(fleet, seconds(5));
   PrintTraffic(
       "10 busy customers", 11, 1,
-      CountTraffic(fleet, [&](Duration length) { RunBusy(fleet, length); }),
-      idle);
+      CountTraffic(fleet,
+                   [&](Duration length) { RunBusyCustomers(fleet, length); }),
+      idle_total);
   fleet.Run(seconds(30));
-  const Traffic quiet =
+  const Traffic idle_traffic =
       CountTraffic(fleet, [&](Duration length) { fleet.Run(length); });
-  const Traffic changed = CountTraffic(fleet, [&](Duration length) {
+  const Traffic change_traffic = CountTraffic(fleet, [&](Duration length) {
     const Time end = fleet.now() + length;
-    AddKey(fleet, 1'000);
+    AddKeyToFirstCustomer(fleet, 1'000);
     fleet.Run(end - fleet.now());
   });
-  PrintTraffic("the same customers, at rest", 11, 1, quiet, idle);
-  PrintTraffic("one change in 10 s", 11, 1, changed,
-               quiet.reports + quiet.updates);
+  PrintTraffic("the same customers, at rest", 11, 1, idle_traffic, idle_total);
+  PrintTraffic("one change in 10 s", 11, 1, change_traffic,
+               idle_traffic.report_bytes + idle_traffic.update_bytes);
   fmt::print(
       "one change costs {:.0f} bytes an entry and {:.0f} bytes of log "
       "messages\n",
-      10 * (changed.reports + changed.updates - quiet.reports - quiet.updates),
-      10 * (changed.consensus - quiet.consensus));
+      10 * (change_traffic.report_bytes + change_traffic.update_bytes -
+            idle_traffic.report_bytes - idle_traffic.update_bytes),
+      10 * (change_traffic.consensus_bytes - idle_traffic.consensus_bytes));
 }
 
 // ---- recovery ------------------------------------------------------------
 
-double MillisOf(const std::function<void()>& run) {
+double MeasureWallMillis(const std::function<void()>& run) {
   const auto start = std::chrono::steady_clock::now();
   run();
   return std::chrono::duration<double, std::milli>(
@@ -363,44 +384,45 @@
     messages::LogEntry entry;
     entry.term = 1;
     entry.index = i + 1;
-    entry.command = messages::Encode(Change(i));
-    state.Apply(Change(i));
+    entry.command = messages::Encode(MakeChangeCommand(i));
+    state.Apply(MakeChangeCommand(i));
     entries.push_back(std::move(entry));
   }
-  consensus::HardState hard;
-  hard.term = 1;
-  bool written = static_cast<bool>(store->Apply({hard}));
-  const double append = MillisOf([&] {
+  consensus::HardState hard_state;
+  hard_state.term = 1;
+  bool succeeded = static_cast<bool>(store->Apply({hard_state}));
+  const double append_millis = MeasureWallMillis([&] {
     for (const messages::LogEntry& entry : entries) {
-      written =
-          written &&
+      succeeded =
+          succeeded &&
           static_cast<bool>(store->Apply({consensus::AppendEntries{{entry}}}));
     }
   });
   store.reset();
-  const double open = MillisOf([&] { store = OpenStore(folder, &restored); });
-  const double replay = MillisOf([&] {
-    control::ControlState again;
+  const double open_millis =
+      MeasureWallMillis([&] { store = OpenStore(folder, &restored); });
+  const double replay_millis = MeasureWallMillis([&] {
+    control::ControlState rebuilt_state;
     for (const messages::LogEntry& entry : restored.entries)
-      again.Apply(*messages::DecodeCommand(entry.command));
+      rebuilt_state.Apply(*messages::DecodeCommand(entry.command));
   });
   consensus::SaveSnapshot save;
   save.snapshot.last_index = changes;
   save.snapshot.last_term = 1;
   save.snapshot.members = {"control-1"};
-  const double encode =
-      MillisOf([&] { save.snapshot.data = messages::Encode(state.Save()); });
-  written =
-      written && store != nullptr && static_cast<bool>(store->Apply({save}));
+  const double encode_millis = MeasureWallMillis(
+      [&] { save.snapshot.data = messages::Encode(state.Save()); });
+  succeeded =
+      succeeded && store != nullptr && static_cast<bool>(store->Apply({save}));
   store.reset();
-  const double load = MillisOf([&] {
+  const double load_millis = MeasureWallMillis([&] {
     store = OpenStore(folder, &restored);
-    control::ControlState again;
+    control::ControlState rebuilt_state;
     const auto snapshot =
         messages::DecodeControlSnapshot(restored.snapshot.data);
-    written = written && snapshot.has_value();
+    succeeded = succeeded && snapshot.has_value();
     if (snapshot)
-      again.Load(*snapshot);
+      rebuilt_state.Load(*snapshot);
   });
   std::uintmax_t log_bytes = 0;
   for (const messages::LogEntry& entry : entries)
@@ -408,8 +430,9 @@
   fmt::print(
       "{:>8} | {:>10.3f} {:>10} {:>9.1f} {:>9.1f} | {:>10} {:>9.1f} "
       "{:>9.1f} | {}\n",
-      changes, append / static_cast<double>(changes), log_bytes, open, replay,
-      save.snapshot.data.size(), encode, load, written ? "ok" : "FAILED");
+      changes, append_millis / static_cast<double>(changes), log_bytes,
+      open_millis, replay_millis, save.snapshot.data.size(), encode_millis,
+      load_millis, succeeded ? "ok" : "FAILED");
   store.reset();
   std::filesystem::remove_all(folder);
 }
@@ -421,7 +444,8 @@
   fmt::print(
       "\nEncoded bytes in an update: endpoint {}, group with 4 terms {}, "
       "instance {}, share {}\n",
-      EncodedEndpoint(), EncodedGroup(), EncodedInstance(), EncodedShare());
+      EncodedEndpointBytes(), EncodedGroupBytes(), EncodedInstanceBytes(),
+      EncodedShareBytes());
   MeasureLeaders();
   MeasureTraffic();
   fmt::print(
--- a/bench/fleet_setup.cc
+++ b/bench/fleet_setup.cc
@@ -12,7 +12,8 @@
 
 using std::chrono::seconds;
 
-bool Apply(sessions::Fleet& fleet, std::vector<messages::Object> objects) {
+bool ApplyChange(sessions::Fleet& fleet,
+                 std::vector<messages::Object> objects) {
   messages::Change change;
   change.base_revision = fleet.entry("e1").view().configuration().Revision();
   change.change_id = fmt::format("change-{}", change.base_revision);
@@ -21,7 +22,8 @@
   return fleet.Configure("e1", change).code == 0;
 }
 
-entry::CallerRequest Request(std::size_t customer, const std::string& group) {
+entry::CallerRequest MakeRequest(std::size_t customer,
+                                 const std::string& group) {
   entry::CallerRequest request;
   request.key_digest = Sha256(KeyText(customer));
   request.group = group;
@@ -34,44 +36,45 @@
 bool StartFleet(sessions::Fleet& fleet,
                 std::size_t customers,
                 int slots,
-                const Load& load) {
+                const CustomerPolicy& policy) {
   fleet.AddGroup("bookings", 3, slots);
   if (!fleet.RunUntil([&] { return !fleet.ControlLeader().empty(); },
                       seconds(10)))
     return false;
   std::vector<messages::Object> objects;
   for (std::size_t i = 0; i < customers; ++i) {
-    objects.push_back(Customer(CustomerName(i)));
-    objects.push_back(Key(i, i));
+    objects.push_back(MakeCustomer(CustomerName(i)));
+    objects.push_back(MakeKey(i, i));
   }
-  objects.push_back(Quota(load.rate, load.burst));
-  messages::Object rule = Rule(0);
+  objects.push_back(MakeQuota(policy.rate, policy.burst));
+  messages::Object rule = MakeRule(0);
   rule.__set_callers("plan=gold");
-  rule.__set_durability(load.durability);
-  rule.__set_max_age_ms(load.max_age.count());
+  rule.__set_durability(policy.durability);
+  rule.__set_max_age_ms(policy.max_age.count());
   objects.push_back(rule);
-  if (!Apply(fleet, std::move(objects)))
+  if (!ApplyChange(fleet, std::move(objects)))
     return false;
-  const bool serves = fleet.RunUntil(
+  const bool has_coordinator = fleet.RunUntil(
       [&] { return !fleet.CoordinatorOf("bookings").empty(); }, seconds(10));
-  // Buckets start empty and replicas pull.
+  // Time for the token buckets, which start empty, to fill and for the replicas
+  // to pull the log.
   fleet.Run(seconds(2));
-  return serves;
+  return has_coordinator;
 }
 
-void AddKey(sessions::Fleet& fleet, std::size_t number) {
-  Apply(fleet, {Key(number, 0)});
+void AddKeyToFirstCustomer(sessions::Fleet& fleet, std::size_t number) {
+  ApplyChange(fleet, {MakeKey(number, 0)});
 }
 
-entry::CallerRequest ReadBy(std::size_t customer, const std::string& group) {
-  entry::CallerRequest request = Request(customer, group);
+entry::CallerRequest MakeRead(std::size_t customer, const std::string& group) {
+  entry::CallerRequest request = MakeRequest(customer, group);
   request.operation = messages::Operation::READ;
   request.statement = "get facade";
   return request;
 }
 
-entry::CallerRequest WriteBy(std::size_t customer, const std::string& group) {
-  entry::CallerRequest request = Request(customer, group);
+entry::CallerRequest MakeWrite(std::size_t customer, const std::string& group) {
+  entry::CallerRequest request = MakeRequest(customer, group);
   request.operation = messages::Operation::WRITE;
   request.statement = "set facade booked";
   return request;
--- a/bench/fleet_setup.h
+++ b/bench/fleet_setup.h
@@ -9,8 +9,10 @@
 
 namespace goldcrest::bench {
 
-//! Rate and burst of each customer, and the age of data that reads accept.
-struct Load {
+//! Quota of each customer, and the maximum age of reads and the durability of
+//! writes that the access rule sets. The rate is in requests a second, the
+//! burst in requests.
+struct CustomerPolicy {
   int rate = 1'000;
   int burst = 1'000;
   std::chrono::milliseconds max_age = std::chrono::seconds(10);
@@ -18,18 +20,21 @@
 };
 
 //! Adds the group "bookings" with three members, registers customers 0 to
-//! `customers` - 1 with one key each, and waits until the group serves. False
-//! when it does not within 20 s.
+//! `customers` - 1 with one key each, and waits until the group has a
+//! coordinator. Returns false if there is no control leader or no coordinator
+//! within 10 s each, or if the change is rejected.
 bool StartFleet(sessions::Fleet& fleet,
                 std::size_t customers,
                 int slots,
-                const Load& load);
+                const CustomerPolicy& policy);
 
-//! One change: a further key of customer 0. Waits until it is in force.
-void AddKey(sessions::Fleet& fleet, std::size_t number);
+//! Adds key `number` to customer 0 in one change and waits until it is in
+//! force.
+void AddKeyToFirstCustomer(sessions::Fleet& fleet, std::size_t number);
 
-entry::CallerRequest ReadBy(std::size_t customer, const std::string& group);
-entry::CallerRequest WriteBy(std::size_t customer, const std::string& group);
+//! A request with the key of the same number and a timeout of 5 s.
+entry::CallerRequest MakeRead(std::size_t customer, const std::string& group);
+entry::CallerRequest MakeWrite(std::size_t customer, const std::string& group);
 
 }  // namespace goldcrest::bench
 
--- a/bench/load.cc
+++ b/bench/load.cc
@@ -52,30 +52,33 @@
 };
 
 Options ParseOptions(int argc, char** argv) {
-  const auto given = docopt::docopt(kUsage, {argv + 1, argv + argc});
-  const auto text = [&](const char* name) {
-    const auto& value = given.at(name);
+  const auto arguments = docopt::docopt(kUsage, {argv + 1, argv + argc});
+  const auto string_argument = [&](const char* name) {
+    const auto& value = arguments.at(name);
     return value.isString() ? value.asString() : std::string();
   };
   Options options;
-  options.direct = given.at("direct").asBool();
-  options.port = static_cast<std::uint16_t>(std::stoi(text("--port")));
-  options.term = text("--term");
-  options.key = text("--key");
-  options.group = text("--group");
-  options.kind = text("--kind");
-  options.max_age_ms = text("--max-age-ms");
-  options.requests = std::stoi(text("--requests"));
-  options.connections = std::stoi(text("--connections"));
-  std::istringstream pids(text("--pids"));
+  options.direct = arguments.at("direct").asBool();
+  options.port =
+      static_cast<std::uint16_t>(std::stoi(string_argument("--port")));
+  options.term = string_argument("--term");
+  options.key = string_argument("--key");
+  options.group = string_argument("--group");
+  options.kind = string_argument("--kind");
+  options.max_age_ms = string_argument("--max-age-ms");
+  options.requests = std::stoi(string_argument("--requests"));
+  options.connections = std::stoi(string_argument("--connections"));
+  std::istringstream pids(string_argument("--pids"));
   for (std::string pid; std::getline(pids, pid, ',');)
     options.pids.push_back(pid);
   return options;
 }
 
-// User and system time of the processes, from /proc/PID/stat.
+// Total user and system time of the processes, from /proc/PID/stat. Throws
+// std::runtime_error if a process does not exist.
 microseconds ProcessorTime(const std::vector<std::string>& pids) {
-  constexpr int fields_before_user_time = 11;  // after the name in brackets
+  constexpr int skipped_field_count =
+      11;  // between the name in parentheses and utime
   std::int64_t ticks = 0;
   for (const std::string& pid : pids) {
     std::ifstream file("/proc/" + pid + "/stat");
@@ -85,9 +88,9 @@
     if (name_end == std::string::npos)
       throw std::runtime_error("no process " + pid);
     std::istringstream fields(line.substr(name_end + 1));
-    std::string skipped;
-    for (int i = 0; i < fields_before_user_time; ++i)
-      fields >> skipped;
+    std::string skipped_field;
+    for (int i = 0; i < skipped_field_count; ++i)
+      fields >> skipped_field;
     std::int64_t user = 0;
     std::int64_t system = 0;
     fields >> user >> system;
@@ -96,7 +99,7 @@
   return microseconds(ticks * 1'000'000 / sysconf(_SC_CLK_TCK));
 }
 
-settings::HttpCall MakeCall(const Options& options, int number) {
+settings::HttpCall MakeHttpCall(const Options& options, int number) {
   settings::HttpCall call;
   call.method = "POST";
   const std::string statement = options.kind == "write"
@@ -117,49 +120,55 @@
   return call;
 }
 
-struct Outcome {
+struct ConnectionResult {
   std::vector<microseconds> latencies;
   int failed = 0;
 };
 
-void SendAll(const Options& options, int first, int count, Outcome* outcome) {
+void SendRequests(const Options& options,
+                  int first,
+                  int count,
+                  ConnectionResult* result) {
   settings::HttpClient client("127.0.0.1", options.port);
   for (int i = 0; i < count; ++i) {
     const auto start = steady_clock::now();
     const auto answer =
-        client.Call(MakeCall(options, first + i), std::chrono::seconds(6));
-    const bool done = answer && answer->status == 200 &&
-                      answer->body.find("\"not_run\"") == std::string::npos;
-    if (!done) {
-      ++outcome->failed;
+        client.Call(MakeHttpCall(options, first + i), std::chrono::seconds(6));
+    const bool succeeded =
+        answer && answer->status == 200 &&
+        answer->body.find("\"not_run\"") == std::string::npos;
+    if (!succeeded) {
+      ++result->failed;
       continue;
     }
-    outcome->latencies.push_back(
+    result->latencies.push_back(
         std::chrono::duration_cast<microseconds>(steady_clock::now() - start));
   }
 }
 
 int Run(const Options& options) {
-  std::vector<Outcome> outcomes(static_cast<std::size_t>(options.connections));
+  std::vector<ConnectionResult> results(
+      static_cast<std::size_t>(options.connections));
   const microseconds cpu_before = ProcessorTime(options.pids);
   const auto start = steady_clock::now();
   std::vector<std::thread> threads;
-  threads.reserve(outcomes.size());
-  const int each = options.requests / options.connections;
+  threads.reserve(results.size());
+  const int requests_per_connection = options.requests / options.connections;
   for (int i = 0; i < options.connections; ++i)
-    threads.emplace_back(SendAll, options, i * each, each,
-                         &outcomes[static_cast<std::size_t>(i)]);
+    threads.emplace_back(SendRequests, options, i * requests_per_connection,
+                         requests_per_connection,
+                         &results[static_cast<std::size_t>(i)]);
   for (std::thread& thread : threads)
     thread.join();
-  const std::chrono::duration<double> length = steady_clock::now() - start;
+  const std::chrono::duration<double> elapsed = steady_clock::now() - start;
   const microseconds cpu = ProcessorTime(options.pids) - cpu_before;
 
   std::vector<microseconds> latencies;
   int failed = 0;
-  for (const Outcome& outcome : outcomes) {
-    latencies.insert(latencies.end(), outcome.latencies.begin(),
-                     outcome.latencies.end());
-    failed += outcome.failed;
+  for (const ConnectionResult& result : results) {
+    latencies.insert(latencies.end(), result.latencies.begin(),
+                     result.latencies.end());
+    failed += result.failed;
   }
   if (latencies.empty()) {
     fmt::print(stderr, "no request succeeded\n");
@@ -174,7 +183,7 @@
       "{:<7}{:<6} done={} failed={} rate={:.0f}/s p50={}us p99={}us "
       "processor={}us/request\n",
       options.direct ? "direct" : "proxy", options.kind, latencies.size(),
-      failed, static_cast<double>(latencies.size()) / length.count(),
+      failed, static_cast<double>(latencies.size()) / elapsed.count(),
       quantile(0.5), quantile(0.99),
       cpu.count() / static_cast<std::int64_t>(latencies.size()));
   return failed == 0 ? 0 : 1;
--- a/bench/measure.cc
+++ b/bench/measure.cc
@@ -10,8 +10,8 @@
 namespace {
 
 constexpr int kRounds = 3;
-constexpr double kRoundSeconds = 0.05;
-constexpr int kCallsBetweenChecks = 16;
+constexpr double kMinRoundSeconds = 0.05;
+constexpr int kCallsPerClockRead = 16;
 
 }  // namespace
 
@@ -28,20 +28,21 @@
 }
 
 double MicrosPerCall(const std::function<void()>& call) {
-  double best = std::numeric_limits<double>::max();
+  double best_micros = std::numeric_limits<double>::max();
   for (int round = 0; round < kRounds; ++round) {
     const double start = CpuSeconds();
-    double spent = 0;
+    double elapsed = 0;
     long calls = 0;
-    while (spent < kRoundSeconds) {
-      for (int i = 0; i < kCallsBetweenChecks; ++i)
+    while (elapsed < kMinRoundSeconds) {
+      for (int i = 0; i < kCallsPerClockRead; ++i)
         call();
-      calls += kCallsBetweenChecks;
-      spent = CpuSeconds() - start;
+      calls += kCallsPerClockRead;
+      elapsed = CpuSeconds() - start;
     }
-    best = std::min(best, spent * 1e6 / static_cast<double>(calls));
+    best_micros =
+        std::min(best_micros, elapsed * 1e6 / static_cast<double>(calls));
   }
-  return best;
+  return best_micros;
 }
 
 }  // namespace goldcrest::bench
--- a/bench/measure.h
+++ b/bench/measure.h
@@ -6,15 +6,15 @@
 
 namespace goldcrest::bench {
 
-//! Processor time of this process in seconds. Wall time would include what
-//! other processes of the machine take.
+//! Processor time of this process in seconds. Unlike wall time, it excludes the
+//! time taken by other processes on the instance.
 double CpuSeconds();
 
-//! Bytes of the heap in use.
+//! Heap memory in use, in bytes.
 std::size_t HeapBytes();
 
-//! Processor time of one call in microseconds: the best of three rounds of at
-//! least 50 ms each.
+//! Processor time of one call in microseconds: the lowest mean of three rounds
+//! of at least 50 ms each.
 double MicrosPerCall(const std::function<void()>& call);
 
 }  // namespace goldcrest::bench
--- a/bench/objects.cc
+++ b/bench/objects.cc
@@ -12,9 +12,9 @@
 namespace goldcrest::bench {
 namespace {
 
-constexpr std::int64_t kMicros = 1'000'000;
+constexpr std::int64_t kMicrosPerRequest = 1'000'000;
 
-std::size_t EncodedSize(const messages::ControlUpdate& update) {
+std::size_t EncodedBytes(const messages::ControlUpdate& update) {
   messages::PeerMessage message;
   message.__set_update(update);
   return messages::Encode(message).size();
@@ -50,7 +50,7 @@
   return fmt::format("entry-{:04}", number);
 }
 
-messages::Object Customer(const std::string& name) {
+messages::Object MakeCustomer(const std::string& name) {
   messages::Object customer;
   customer.kind = messages::ObjectKind::CUSTOMER;
   customer.name = name;
@@ -58,7 +58,7 @@
   return customer;
 }
 
-messages::Object Key(std::size_t number, std::size_t customer) {
+messages::Object MakeKey(std::size_t number, std::size_t customer) {
   messages::Object key;
   key.kind = messages::ObjectKind::KEY;
   key.name = KeyName(number);
@@ -67,7 +67,7 @@
   return key;
 }
 
-messages::Object Rule(std::size_t number) {
+messages::Object MakeRule(std::size_t number) {
   messages::Object rule;
   rule.kind = messages::ObjectKind::ACCESS;
   rule.name = RuleName(number);
@@ -81,18 +81,18 @@
   return rule;
 }
 
-messages::Object Quota(int rate, int burst) {
+messages::Object MakeQuota(int rate, int burst) {
   messages::Object quota;
   quota.kind = messages::ObjectKind::QUOTA;
   quota.name = "gold";
   quota.__set_callers("plan=gold");
-  quota.__set_rate_micros(rate * kMicros);
-  quota.__set_burst_micros(burst * kMicros);
+  quota.__set_rate_micros(rate * kMicrosPerRequest);
+  quota.__set_burst_micros(burst * kMicrosPerRequest);
   quota.__set_order(1);
   return quota;
 }
 
-messages::EndpointInfo Endpoint(std::size_t number) {
+messages::EndpointInfo MakeEndpoint(std::size_t number) {
   messages::EndpointInfo info;
   info.endpoint = EndpointName(number);
   info.group = GroupName(number / 3);
@@ -105,17 +105,17 @@
   return info;
 }
 
-std::vector<messages::EndpointInfo> Endpoints(const std::string& group,
-                                              std::size_t count) {
+std::vector<messages::EndpointInfo> MakeEndpoints(const std::string& group,
+                                                  std::size_t count) {
   std::vector<messages::EndpointInfo> endpoints;
   for (std::size_t i = 0; i < count; ++i) {
-    endpoints.push_back(Endpoint(i));
+    endpoints.push_back(MakeEndpoint(i));
     endpoints.back().group = group;
   }
   return endpoints;
 }
 
-messages::InstanceInfo Instance(std::size_t number) {
+messages::InstanceInfo MakeInstance(std::size_t number) {
   messages::InstanceInfo info;
   info.instance = InstanceName(number);
   info.zone = fmt::format("zone-{:02}", number % 23);
@@ -125,14 +125,14 @@
   return info;
 }
 
-void ApplyAll(policy::Configuration& configuration,
-              const std::vector<messages::Object>& objects) {
+void ApplyInChanges(policy::Configuration& configuration,
+                    const std::vector<messages::Object>& objects) {
   messages::Change change;
   for (std::size_t i = 0; i < objects.size(); ++i) {
     change.objects.push_back(objects[i]);
-    const bool full =
+    const bool change_is_full =
         change.objects.size() == policy::Configuration::kMaxObjectsPerChange;
-    if (!full && i + 1 < objects.size())
+    if (!change_is_full && i + 1 < objects.size())
       continue;
     change.base_revision = configuration.Revision();
     change.change_id = fmt::format("bench-{}", change.base_revision);
@@ -147,15 +147,15 @@
 void AddCustomers(policy::Configuration& configuration, std::size_t count) {
   std::vector<messages::Object> objects;
   for (std::size_t i = 0; i < count; ++i)
-    objects.push_back(Customer(CustomerName(i)));
-  ApplyAll(configuration, objects);
+    objects.push_back(MakeCustomer(CustomerName(i)));
+  ApplyInChanges(configuration, objects);
 }
 
 void AddKeys(policy::Configuration& configuration, std::size_t count) {
   std::vector<messages::Object> objects;
   for (std::size_t i = 0; i < count; ++i)
-    objects.push_back(Key(i, i));
-  ApplyAll(configuration, objects);
+    objects.push_back(MakeKey(i, i));
+  ApplyInChanges(configuration, objects);
 }
 
 void AddCustomersAndKeys(policy::Configuration& configuration,
@@ -167,14 +167,14 @@
 void AddRules(policy::Configuration& configuration, std::size_t count) {
   std::vector<messages::Object> objects;
   for (std::size_t i = 0; i < count; ++i)
-    objects.push_back(Rule(i));
+    objects.push_back(MakeRule(i));
   objects.back().__set_callers("plan=gold,region in (oyo,osun),!trial");
-  ApplyAll(configuration, objects);
+  ApplyInChanges(configuration, objects);
 }
 
-std::size_t EncodedShare() {
+std::size_t EncodedShareBytes() {
   messages::ControlUpdate update;
-  const std::size_t empty = EncodedSize(update);
+  const std::size_t empty_bytes = EncodedBytes(update);
   messages::ShareUpdate share;
   share.customer = CustomerName(1);
   share.share_sequence = 123'456;
@@ -184,10 +184,10 @@
   share.added_micros = 1'234'567;
   share.lease_ms = 3'000;
   update.shares.push_back(share);
-  return EncodedSize(update) - empty;
+  return EncodedBytes(update) - empty_bytes;
 }
 
-std::size_t EncodedForward() {
+std::size_t EncodedForwardRequestBytes() {
   messages::ForwardRequest request;
   request.customer = CustomerName(1);
   request.key_name = KeyName(1);
@@ -199,16 +199,16 @@
   return messages::Encode(message).size();
 }
 
-std::size_t EncodedEndpoint() {
+std::size_t EncodedEndpointBytes() {
   messages::ControlUpdate update;
-  const std::size_t empty = EncodedSize(update);
-  update.endpoints.push_back(Endpoint(1));
-  return EncodedSize(update) - empty;
+  const std::size_t empty_bytes = EncodedBytes(update);
+  update.endpoints.push_back(MakeEndpoint(1));
+  return EncodedBytes(update) - empty_bytes;
 }
 
-std::size_t EncodedGroup() {
+std::size_t EncodedGroupBytes() {
   messages::ControlUpdate update;
-  const std::size_t empty = EncodedSize(update);
+  const std::size_t empty_bytes = EncodedBytes(update);
   messages::GroupState group;
   group.group = GroupName(1);
   group.revision = 123'456;
@@ -223,14 +223,14 @@
   group.coordinator = InstanceName(1);
   group.coordinator_epoch = 12;
   update.groups.push_back(group);
-  return EncodedSize(update) - empty;
+  return EncodedBytes(update) - empty_bytes;
 }
 
-std::size_t EncodedInstance() {
+std::size_t EncodedInstanceBytes() {
   messages::ControlUpdate update;
-  const std::size_t empty = EncodedSize(update);
-  update.instances.push_back(Instance(1));
-  return EncodedSize(update) - empty;
+  const std::size_t empty_bytes = EncodedBytes(update);
+  update.instances.push_back(MakeInstance(1));
+  return EncodedBytes(update) - empty_bytes;
 }
 
 }  // namespace goldcrest::bench
--- a/bench/quota_bench.cc
+++ b/bench/quota_bench.cc
@@ -24,15 +24,15 @@
 using std::chrono::seconds;
 
 constexpr std::size_t kEntries = 11;
-constexpr Duration kStep = milliseconds(1);
+constexpr Duration kTimeStep = milliseconds(1);
 constexpr Duration kOneWayDelay = milliseconds(5);
-constexpr Duration kMaxWait = milliseconds(250);
+constexpr Duration kMaxQuotaWait = milliseconds(250);
 constexpr Duration kWarmUp = seconds(10);
-constexpr Duration kLength = seconds(120);
-constexpr Duration kWithoutOwner = milliseconds(1200);
+constexpr Duration kSimulatedDuration = seconds(120);
+constexpr Duration kOwnerOutage = milliseconds(1200);
 constexpr Duration kFailoverInterval = seconds(20);
 constexpr Duration kEntryLostAt = seconds(40);
-constexpr Duration kEntryBackAt = seconds(80);
+constexpr Duration kEntryRestartedAt = seconds(80);
 constexpr std::uint32_t kSeed = 1;
 
 // Requests a second and burst of a few large and several small customers.
@@ -64,9 +64,9 @@
 };
 
 // A token bucket with one counter.
-class Bucket {
+class TokenBucket {
  public:
-  Bucket(std::int64_t rate_micros, std::int64_t burst_micros, bool full)
+  TokenBucket(std::int64_t rate_micros, std::int64_t burst_micros, bool full)
       : rate_(rate_micros),
         burst_(burst_micros),
         level_(full ? burst_micros : 0) {}
@@ -80,8 +80,9 @@
     return true;
   }
 
-  // Takes a token that may not be there. False below zero.
-  bool Take(Time now) {
+  // Takes a token even if there is none left. Returns false if the level falls
+  // below -1 millionth of a token.
+  bool TakeUnconditionally(Time now) {
     Refill(now);
     level_ -= kRequestMicros;
     return level_ >= -1;
@@ -89,44 +90,44 @@
 
  private:
   void Refill(Time now) {
-    quota::Refill(rate_, burst_, now - at_, level_, remainder_);
-    at_ = now;
+    quota::Refill(rate_, burst_, now - refilled_at_, level_, remainder_);
+    refilled_at_ = now;
   }
 
   std::int64_t rate_;
   std::int64_t burst_;
   std::int64_t level_;
   std::int64_t remainder_ = 0;
-  Time at_;
+  Time refilled_at_;
 };
 
-struct Result {
+struct SimulationResult {
   std::array<std::int64_t, kCustomers.size()> offered{};
   std::array<std::int64_t, kCustomers.size()> refused{};
   std::int64_t reports = 0;
-  bool strict = true;
+  bool strict = true;  // no customer ever exceeded its limit
 };
 
-// Arrivals that conform to each customer's rate and burst, so that every
-// refusal is wrongful, and the entry at which each arrives.
+// Generates requests and selects the entry at which each arrives. All conform
+// to their customer's rate and burst, so that every refusal is wrongful.
 class Traffic {
  public:
   Traffic(Pattern pattern, int load_percent)
-      : pattern_(pattern), load_percent_(load_percent), random_(kSeed) {
+      : pattern_(pattern), load_percent_(load_percent), generator_(kSeed) {
     for (const auto& [rate, burst] : kCustomers) {
-      conforming_.emplace_back(rate * kRequestMicros, burst * kRequestMicros,
-                               false);
+      conforming_buckets_.emplace_back(rate * kRequestMicros,
+                                       burst * kRequestMicros, false);
     }
   }
 
-  // Number of conforming arrivals of a customer in one step.
+  // Number of conforming requests of a customer in one time step.
   int Arrivals(Time now, std::size_t customer) {
     const double mean = kCustomers[customer].first * load_percent_ / 100.0 *
-                        std::chrono::duration<double>(kStep).count();
+                        std::chrono::duration<double>(kTimeStep).count();
     int count = 0;
-    for (int drawn = std::poisson_distribution<int>(mean)(random_); drawn > 0;
-         --drawn) {
-      count += conforming_[customer].TryTake(now) ? 1 : 0;
+    for (int drawn = std::poisson_distribution<int>(mean)(generator_);
+         drawn > 0; --drawn) {
+      count += conforming_buckets_[customer].TryTake(now) ? 1 : 0;
     }
     return count;
   }
@@ -139,37 +140,39 @@
       const auto second = now.time_since_epoch() / seconds(1);
       return (static_cast<std::size_t>(second) * 4 + customer) % kEntries;
     }
-    const std::size_t entry = random_() % kEntries;
+    const std::size_t entry = generator_() % kEntries;
     return IsLost(now, entry) ? entry + 1 : entry;
   }
 
   bool IsLost(Time now, std::size_t entry) const {
     return pattern_ == Pattern::kEntryLost && entry == 0 &&
-           now >= Time(kEntryLostAt) && now < Time(kEntryBackAt);
+           now >= Time(kEntryLostAt) && now < Time(kEntryRestartedAt);
   }
 
   bool HasOwner(Time now) const {
     return pattern_ != Pattern::kFailover || now < Time(kFailoverInterval) ||
-           now.time_since_epoch() % kFailoverInterval >= kWithoutOwner;
+           now.time_since_epoch() % kFailoverInterval >= kOwnerOutage;
   }
 
  private:
   Pattern pattern_;
   int load_percent_;
-  std::mt19937 random_;
-  std::vector<Bucket> conforming_;
+  std::mt19937 generator_;
+  std::vector<TokenBucket> conforming_buckets_;
 };
 
 std::string NameOf(std::size_t index) {
   return std::to_string(index);
 }
 
+// Quota limiter under test: an owner leases shares of each limit to the
+// entries, over a network with a fixed delay.
 class LeasedShares {
  public:
   void Advance(Time now, const Traffic& traffic) {
     now_ = now;
     UpdateOwner(traffic.HasOwner(now));
-    Deliver();
+    DeliverMessages();
     for (std::size_t index = 0; index < kEntries; ++index) {
       Entry& entry = entries_[index];
       if (traffic.IsLost(now, index)) {
@@ -177,7 +180,7 @@
         continue;
       }
       if (!entry.holder) {
-        Start(entry);
+        StartEntry(entry);
       }
       if (now == owner_known_at_) {
         entry.holder->OnOwnerChange(now);
@@ -185,7 +188,7 @@
     }
   }
 
-  // Sends the reports that are due, after the requests of this step.
+  // Sends the reports that are due. To be called after the requests of a step.
   void SendReports() {
     for (std::size_t index = 0; index < kEntries; ++index) {
       Entry& entry = entries_[index];
@@ -205,7 +208,7 @@
   bool TryTake(std::size_t entry, std::size_t customer) {
     return entries_[entry].holder->TryTake(now_, NameOf(customer));
   }
-  void Wait(std::size_t entry, std::size_t customer) {
+  void StartWaiting(std::size_t entry, std::size_t customer) {
     entries_[entry].holder->StartWaiting(now_, NameOf(customer));
   }
   bool TryTakeWaiting(std::size_t entry, std::size_t customer) {
@@ -235,7 +238,7 @@
             .burst_micros = kCustomers[customer].second * kRequestMicros};
   }
 
-  void Start(Entry& entry) {
+  void StartEntry(Entry& entry) {
     entry.holder = std::make_unique<quota::Holder>();
     ++entry.incarnation;
     for (std::size_t customer = 0; customer < kCustomers.size(); ++customer) {
@@ -252,17 +255,17 @@
       return;
     }
     owner_known_at_ = now_ + kOneWayDelay;
-    std::map<std::string, std::int64_t> registered;
+    std::map<std::string, std::int64_t> incarnations;
     for (std::size_t index = 0; index < kEntries; ++index) {
-      registered[NameOf(index)] = entries_[index].incarnation;
+      incarnations[NameOf(index)] = entries_[index].incarnation;
     }
-    owner_ = std::make_unique<quota::Owner>(++term_, now_, registered);
+    owner_ = std::make_unique<quota::Owner>(++term_, now_, incarnations);
     for (std::size_t customer = 0; customer < kCustomers.size(); ++customer) {
       owner_->SetLimit(now_, NameOf(customer), LimitOf(customer));
     }
   }
 
-  void Deliver() {
+  void DeliverMessages() {
     while (!network_.empty() && network_.begin()->first <= now_) {
       Message message = std::move(network_.begin()->second);
       network_.erase(network_.begin());
@@ -288,7 +291,7 @@
   std::int64_t reports_ = 0;
 };
 
-// Each entry has an equal part of each limit.
+// Baseline: each entry has an equal, fixed part of each limit.
 class StaticSplit {
  public:
   StaticSplit() {
@@ -305,7 +308,7 @@
   bool TryTake(std::size_t entry, std::size_t customer) {
     return buckets_[entry][customer].TryTake(now_);
   }
-  void Wait(std::size_t, std::size_t) {}
+  void StartWaiting(std::size_t, std::size_t) {}
   bool TryTakeWaiting(std::size_t entry, std::size_t customer) {
     return TryTake(entry, customer);
   }
@@ -314,26 +317,29 @@
 
  private:
   Time now_;
-  std::array<std::vector<Bucket>, kEntries> buckets_;
+  std::array<std::vector<TokenBucket>, kEntries> buckets_;
 };
 
-template <typename Split>
-Result Simulate(Pattern pattern, int load_percent) {
-  Result result;
+template <typename Limiter>
+SimulationResult Simulate(Pattern pattern, int load_percent) {
+  SimulationResult result;
   Traffic traffic(pattern, load_percent);
-  Split split;
-  std::vector<Bucket> audit;
-  audit.reserve(kCustomers.size());
+  Limiter limiter;
+  // Check that the accepted requests never exceed a customer's limit.
+  std::vector<TokenBucket> audit_buckets;
+  audit_buckets.reserve(kCustomers.size());
   for (const auto& [rate, burst] : kCustomers) {
-    audit.emplace_back(rate * kRequestMicros, burst * kRequestMicros, true);
+    audit_buckets.emplace_back(rate * kRequestMicros, burst * kRequestMicros,
+                               true);
   }
-  // Deadlines of the requests that wait, by entry and customer.
+  // Deadlines of the waiting requests, by entry and customer.
   std::array<std::array<std::deque<Time>, kCustomers.size()>, kEntries> waiting;
   const Time measured_from = Time(kWarmUp);
-  for (Time now; now < Time(kLength); now += kStep) {
-    split.Advance(now, traffic);
-    const auto take = [&](std::size_t customer) {
-      result.strict = audit[customer].Take(now) && result.strict;
+  for (Time now; now < Time(kSimulatedDuration); now += kTimeStep) {
+    limiter.Advance(now, traffic);
+    const auto take_from_audit = [&](std::size_t customer) {
+      result.strict =
+          audit_buckets[customer].TakeUnconditionally(now) && result.strict;
     };
     for (std::size_t entry = 0; entry < kEntries; ++entry) {
       for (std::size_t customer = 0; customer < kCustomers.size(); ++customer) {
@@ -341,14 +347,15 @@
         if (traffic.IsLost(now, entry)) {
           queue.clear();  // lost with their connections, not refused
         }
-        while (!queue.empty() && split.TryTakeWaiting(entry, customer)) {
-          take(customer);
+        while (!queue.empty() && limiter.TryTakeWaiting(entry, customer)) {
+          take_from_audit(customer);
           queue.pop_front();
         }
         while (!queue.empty() && queue.front() <= now) {
-          split.StopWaiting(entry, customer);
+          limiter.StopWaiting(entry, customer);
           queue.pop_front();
-          result.refused[customer] += now - kMaxWait >= measured_from ? 1 : 0;
+          result.refused[customer] +=
+              now - kMaxQuotaWait >= measured_from ? 1 : 0;
         }
       }
     }
@@ -357,29 +364,29 @@
         result.offered[customer] += now >= measured_from ? 1 : 0;
         const std::size_t entry = traffic.EntryOf(now, customer);
         auto& queue = waiting[entry][customer];
-        if (queue.empty() && split.TryTake(entry, customer)) {
-          take(customer);
+        if (queue.empty() && limiter.TryTake(entry, customer)) {
+          take_from_audit(customer);
           continue;
         }
         if (!queue.empty()) {
-          split.TryTake(entry, customer);  // counts as demand
+          limiter.TryTake(entry, customer);  // counts as demand
         }
-        split.Wait(entry, customer);
-        queue.push_back(now + kMaxWait);
+        limiter.StartWaiting(entry, customer);
+        queue.push_back(now + kMaxQuotaWait);
       }
     }
-    split.SendReports();
+    limiter.SendReports();
   }
-  result.reports = split.reports();
+  result.reports = limiter.reports();
   return result;
 }
 
-struct Shares {
+struct RefusalPercent {
   double all;
   double worst_customer;
 };
 
-Shares RefusedPercent(const Result& result) {
+RefusalPercent ComputeRefusalPercent(const SimulationResult& result) {
   std::int64_t offered = 0;
   std::int64_t refused = 0;
   double worst = 0;
@@ -401,8 +408,8 @@
       "Wrongful refusals, in percent of the requests within the limit\n"
       "({} entries, {} customers, {} s after {} s of warm-up, waits up to {} "
       "ms)\n\n",
-      kEntries, kCustomers.size(), (kLength - kWarmUp) / seconds(1),
-      kWarmUp / seconds(1), kMaxWait / milliseconds(1));
+      kEntries, kCustomers.size(), (kSimulatedDuration - kWarmUp) / seconds(1),
+      kWarmUp / seconds(1), kMaxQuotaWait / milliseconds(1));
   fmt::print("{:<19} {:>5} | {:>8} {:>8} {:>9} {:>7} | {:>8} {:>8}\n", "", "",
              "leased", "worst", "reports/s", "", "static", "worst");
   fmt::print("{:<19} {:>5} | {:>8} {:>8} {:>9} {:>7} | {:>8} {:>8}\n",
@@ -411,17 +418,19 @@
   bool strict = true;
   for (const auto& [pattern, name] : kPatterns) {
     for (const int load : {50, 90, 100}) {
-      const Result leased = Simulate<LeasedShares>(pattern, load);
-      const Shares ours = RefusedPercent(leased);
-      const Shares split = RefusedPercent(Simulate<StaticSplit>(pattern, load));
+      const SimulationResult leased = Simulate<LeasedShares>(pattern, load);
+      const RefusalPercent leased_percent = ComputeRefusalPercent(leased);
+      const RefusalPercent static_percent =
+          ComputeRefusalPercent(Simulate<StaticSplit>(pattern, load));
       strict = strict && leased.strict;
       fmt::print(
           "{:<19} {:>4}% | {:>8.3f} {:>8.3f} {:>9.1f} {:>7} | {:>8.3f} "
           "{:>8.3f}\n",
-          name, load, ours.all, ours.worst_customer,
+          name, load, leased_percent.all, leased_percent.worst_customer,
           static_cast<double>(leased.reports) /
-              static_cast<double>(kEntries * (kLength / seconds(1))),
-          leased.strict ? "yes" : "NO", split.all, split.worst_customer);
+              static_cast<double>(kEntries * (kSimulatedDuration / seconds(1))),
+          leased.strict ? "yes" : "NO", static_percent.all,
+          static_percent.worst_customer);
     }
   }
   return strict ? 0 : 1;
