--- a/consensus/internal/round_clock.h
+++ b/consensus/internal/append_rounds.h
@@ -1,5 +1,5 @@
-#ifndef GOLDCREST_CONSENSUS_ROUND_CLOCK_H_
-#define GOLDCREST_CONSENSUS_ROUND_CLOCK_H_
+#ifndef GOLDCREST_CONSENSUS_APPEND_ROUNDS_H_
+#define GOLDCREST_CONSENSUS_APPEND_ROUNDS_H_
 
 #include <cstdint>
 #include <map>
@@ -11,7 +11,7 @@
 
 //! Start times of a leader's append rounds. A response with a round's number
 //! shows that its sender followed this leader at or after the round's start.
-class RoundClock {
+class AppendRounds {
  public:
   void StartNext(Time now);
   std::int64_t Current() const { return current_; }
@@ -28,4 +28,4 @@
 
 }  // namespace goldcrest::consensus
 
-#endif  // GOLDCREST_CONSENSUS_ROUND_CLOCK_H_
+#endif  // GOLDCREST_CONSENSUS_APPEND_ROUNDS_H_
--- a/consensus/internal/replica_core.h
+++ b/consensus/internal/replica_core.h
@@ -9,6 +9,7 @@
 #include <string>
 #include <vector>
 
+#include "append_rounds.h"
 #include "goldcrest/consensus/output.h"
 #include "goldcrest/consensus/proposal.h"
 #include "goldcrest/consensus/replica_options.h"
@@ -17,7 +18,6 @@
 #include "goldcrest/types/time.h"
 #include "progress.h"
 #include "replica_log.h"
-#include "round_clock.h"
 
 namespace goldcrest::consensus {
 
@@ -186,7 +186,7 @@
 
   // Leader state.
   std::map<std::string, Progress> progress_;
-  RoundClock rounds_;
+  AppendRounds rounds_;
   Time heartbeat_deadline_{};
   Time leader_since_{};
   std::optional<Admission> admission_;
