--- a/programs/goldcrestd/daemon.cc
+++ b/programs/goldcrestd/daemon.cc
@@ -406,7 +406,7 @@
     Send(instance, std::move(message));
     return true;
   };
-  hooks.refusals = &refusal_log_;
+  hooks.refusals = &refusal_counters_;
   return hooks;
 }
 
--- a/programs/goldcrestd/daemon.h
+++ b/programs/goldcrestd/daemon.h
@@ -22,7 +22,7 @@
 #include "goldcrest/storage/log_store.h"
 #include "programs/goldcrestd/endpoint_gateway.h"
 #include "programs/goldcrestd/operator_api.h"
-#include "programs/goldcrestd/refusal_log.h"
+#include "programs/goldcrestd/refusal_counters.h"
 
 namespace goldcrest {
 
@@ -94,7 +94,7 @@
   settings::DaemonSettings settings_;
   std::shared_ptr<adapters::Logger> logger_;
   adapters::Counters counters_;
-  RefusalLog refusal_log_;
+  RefusalCounters refusal_counters_;
   std::string announce_secret_;
   std::unique_ptr<storage::LogStore> store_;
 
--- a/programs/goldcrestd/daemon_callers.cc
+++ b/programs/goldcrestd/daemon_callers.cc
@@ -117,8 +117,8 @@
   counters_.GetHistogram("goldcrest_request_seconds")
       .Observe(SystemClock::Now() - pending.arrival);
   if (InfoOf(answer.code).outcome != Outcome::kDone) {
-    refusal_log_.Add(answer.code, answer.customer, answer.group,
-                     SystemClock::WallNow().count());
+    refusal_counters_.Add(answer.code, answer.customer, answer.group,
+                          SystemClock::WallNow().count());
   }
   pending.respond(ToHttp(answer));
 }
--- a/programs/goldcrestd/operator_api.cc
+++ b/programs/goldcrestd/operator_api.cc
@@ -292,7 +292,8 @@
       .MemberRaw("control", response.body);
   if (query.explain) {
     json.BeginArray("refusals_here");
-    for (const RefusalLog::Row& row : hooks_.refusals->Rows(query.subject)) {
+    for (const RefusalCounters::Row& row :
+         hooks_.refusals->Rows(query.subject)) {
       JsonWriter item;
       item.BeginObject()
           .Member("code", ToNumber(row.code))
--- a/programs/goldcrestd/operator_api.h
+++ b/programs/goldcrestd/operator_api.h
@@ -12,7 +12,7 @@
 #include "goldcrest/messages/messages.h"
 #include "goldcrest/policy/configuration.h"
 #include "goldcrest/types/time.h"
-#include "programs/goldcrestd/refusal_log.h"
+#include "programs/goldcrestd/refusal_counters.h"
 
 namespace goldcrest {
 
@@ -33,7 +33,7 @@
       read_configuration;
   //! Starts a planned stop of an instance; false if the instance is unknown.
   std::function<bool(const std::string& instance)> drain;
-  const RefusalLog* refusals = nullptr;
+  const RefusalCounters* refusals = nullptr;
 };
 
 //! The operators' HTTP interface. Thread-safe.
--- a/programs/goldcrestd/refusal_log.cc
+++ b/programs/goldcrestd/refusal_counters.cc
@@ -1,4 +1,4 @@
-#include "programs/goldcrestd/refusal_log.h"
+#include "programs/goldcrestd/refusal_counters.h"
 
 namespace goldcrest {
 namespace {
@@ -9,10 +9,10 @@
 
 }  // namespace
 
-void RefusalLog::Add(ResultCode code,
-                     const std::string& customer,
-                     const std::string& group,
-                     std::int64_t wall_ms) {
+void RefusalCounters::Add(ResultCode code,
+                          const std::string& customer,
+                          const std::string& group,
+                          std::int64_t wall_ms) {
   const std::lock_guard lock(mutex_);
   const Key key(code, customer, group);
   if (rows_.size() >= kMaxRows && !rows_.contains(key))
@@ -28,7 +28,7 @@
   row.last_wall_ms = wall_ms;
 }
 
-std::vector<RefusalLog::Row> RefusalLog::Rows(
+std::vector<RefusalCounters::Row> RefusalCounters::Rows(
     const std::string& subject) const {
   const std::lock_guard lock(mutex_);
   std::vector<Row> rows;
--- a/programs/goldcrestd/refusal_log.h
+++ b/programs/goldcrestd/refusal_counters.h
@@ -1,5 +1,5 @@
-#ifndef GOLDCREST_PROGRAMS_GOLDCRESTD_REFUSAL_LOG_H_
-#define GOLDCREST_PROGRAMS_GOLDCRESTD_REFUSAL_LOG_H_
+#ifndef GOLDCREST_PROGRAMS_GOLDCRESTD_REFUSAL_COUNTERS_H_
+#define GOLDCREST_PROGRAMS_GOLDCRESTD_REFUSAL_COUNTERS_H_
 
 #include <cstdint>
 #include <map>
@@ -15,7 +15,7 @@
 //! Counts the refused requests of this instance by code, customer and group, so
 //! that operators can look up why requests were refused without a log line per
 //! request. The number of rows is bounded. Thread-safe.
-class RefusalLog {
+class RefusalCounters {
  public:
   struct Row {
     ResultCode code = ResultCode::kOk;
@@ -44,4 +44,4 @@
 
 }  // namespace goldcrest
 
-#endif  // GOLDCREST_PROGRAMS_GOLDCRESTD_REFUSAL_LOG_H_
+#endif  // GOLDCREST_PROGRAMS_GOLDCRESTD_REFUSAL_COUNTERS_H_
