--- a/fleet/include/goldcrest/fleet/controller.h
+++ b/fleet/include/goldcrest/fleet/controller.h
@@ -48,7 +48,7 @@
   std::function<void(const std::string& event,
                      const std::string& subject,
                      const std::string& cause)>
-      decided;
+      log_decision;
 };
 
 struct ControllerOptions {
--- a/fleet/include/goldcrest/fleet/failover_planner.h
+++ b/fleet/include/goldcrest/fleet/failover_planner.h
@@ -48,7 +48,7 @@
                      const std::string& group,
                      const std::string& endpoint,
                      const std::string& cause)>
-      decided;
+      log_decision;
 };
 
 //! Monitors the primaries of all groups, and has another endpoint promoted when
--- a/fleet/src/controller.cc
+++ b/fleet/src/controller.cc
@@ -73,7 +73,7 @@
   if (now >= next_expiry_check_) {
     next_expiry_check_ = now + kExpiryCheckInterval;
     for (const auto& record : directory_.Expire(now - kEndpointExpiry)) {
-      hooks_.decided("endpoint_gone", record.endpoint, "no heartbeat");
+      hooks_.log_decision("endpoint_gone", record.endpoint, "no heartbeat");
       OnEndpointChanged(now, record);
     }
   }
@@ -100,7 +100,7 @@
 }
 
 void Controller::OnLink(const std::string& peer, bool up) {
-  hooks_.decided(up ? "link_up" : "link_down", peer, "");
+  hooks_.log_decision(up ? "link_up" : "link_down", peer, "");
   const auto it = entries_.find(peer);
   if (it != entries_.end())
     it->second.linked = up;
@@ -140,7 +140,7 @@
     return;
   reported_term_ = replica_.Term();
   reported_leader_ = replica_.Leader();
-  hooks_.decided(
+  hooks_.log_decision(
       "term_changed", std::to_string(reported_term_),
       reported_leader_.empty() ? "no leader" : "leader " + reported_leader_);
 }
@@ -152,7 +152,7 @@
     for (const std::string& member : entry.members)
       names += (names.empty() ? "" : ",") + member;
     members_changed_at_ = now;
-    hooks_.decided("members_changed", names, "");
+    hooks_.log_decision("members_changed", names, "");
   }
   if (entry.command.empty())
     return;
@@ -202,8 +202,8 @@
   if (state_.text().empty())
     return;
   table_ = hooks_.decode(state_.text());
-  hooks_.decided("configuration_applied", std::to_string(state_.version()),
-                 table_ ? "" : "the document can't be decoded");
+  hooks_.log_decision("configuration_applied", std::to_string(state_.version()),
+                      table_ ? "" : "the document can't be decoded");
   if (leadership_ != nullptr)
     SetLimits(now);
   messages::ProxyUpdate update;
--- a/fleet/src/controller_leadership.cc
+++ b/fleet/src/controller_leadership.cc
@@ -25,7 +25,8 @@
   const bool leads = replica_.IsLeader();
   if (leadership_ != nullptr &&
       (!leads || replica_.Term() != leadership_->term)) {
-    hooks_.decided("leadership_lost", std::to_string(leadership_->term), "");
+    hooks_.log_decision("leadership_lost", std::to_string(leadership_->term),
+                        "");
     leadership_.reset();
   }
   if (leadership_ != nullptr || !leads || !replica_.HoldsLeaderLease(now))
@@ -33,7 +34,7 @@
   leadership_ = std::make_unique<Leadership>();
   leadership_->term = replica_.Term();
   leadership_->won_at = now;
-  hooks_.decided("leadership_won", std::to_string(leadership_->term), "");
+  hooks_.log_decision("leadership_won", std::to_string(leadership_->term), "");
   // Members that have not been heard from get the full timeout from now on.
   for (const std::string& member : replica_.Members()) {
     if (member != options_.replica.self)
@@ -59,11 +60,11 @@
     update.report_now = true;
     SendToEntries(update);
   };
-  failover.decided = [this](const std::string& event, const std::string& group,
-                            const std::string& endpoint,
-                            const std::string& cause) {
-    hooks_.decided(event, group + " " + endpoint, cause);
-  };
+  failover.log_decision =
+      [this](const std::string& event, const std::string& group,
+             const std::string& endpoint, const std::string& cause) {
+        hooks_.log_decision(event, group + " " + endpoint, cause);
+      };
   leadership_->failover = std::make_unique<FailoverPlanner>(
       now, leadership_->term, &directory_, std::move(failover));
   SetLimits(now);
@@ -96,7 +97,7 @@
     return;
   leadership_->last_reserve_grant = now;
   leadership_->owner->GrantReserve(now);
-  hooks_.decided("reserve_given_out", std::to_string(reserve.term), "");
+  hooks_.log_decision("reserve_given_out", std::to_string(reserve.term), "");
 }
 
 // Allows the next grant of the reserves. An earlier leader can have granted
@@ -133,7 +134,7 @@
     if (holder.process == 0 ||
         (it != entries_.end() && now - it->second.reported_at < kHolderExpiry))
       continue;
-    hooks_.decided("holder_released", instance, "silent");
+    hooks_.log_decision("holder_released", instance, "silent");
     // Passes a copy, since the proposal may change the holders.
     return ReleaseHolder(now, std::string(instance));
   }
@@ -168,8 +169,8 @@
     return;
   consensus::Proposal proposal = replica_.ProposeMembers(now, *next);
   if (proposal.code == ResultCode::kOk)
-    hooks_.decided("membership_proposed", std::to_string(next->size()),
-                   "was " + std::to_string(view.members.size()));
+    hooks_.log_decision("membership_proposed", std::to_string(next->size()),
+                        "was " + std::to_string(view.members.size()));
   ProcessOutput(now, std::move(proposal.output));
 }
 
--- a/fleet/src/controller_peers.cc
+++ b/fleet/src/controller_peers.cc
@@ -28,8 +28,8 @@
     hooks_.send(name, message);
   if (merge != routing::EndpointDirectory::MergeResult::kChanged)
     return;
-  hooks_.decided("endpoint_changed", record.group + " " + record.endpoint,
-                 routing::DescribeState(record));
+  hooks_.log_decision("endpoint_changed", record.group + " " + record.endpoint,
+                      routing::DescribeState(record));
   OnEndpointChanged(now, record);
 }
 
--- a/fleet/src/failover_planner.cc
+++ b/fleet/src/failover_planner.cc
@@ -107,7 +107,7 @@
   if (known == nullptr || known->record.gone || !known->record.primary) {
     const std::string found = FindPrimary(name, group);
     if (!found.empty() && found != group.primary) {
-      hooks_.decided("primary_seen", name, found, "heartbeat");
+      hooks_.log_decision("primary_seen", name, found, "heartbeat");
       group.primary = found;
       group.failing_since.reset();
       group.failures = 0;
@@ -169,7 +169,7 @@
                                   const std::string& name,
                                   Group& group,
                                   const std::string& cause) {
-  hooks_.decided("survey", name, group.primary, cause);
+  hooks_.log_decision("survey", name, group.primary, cause);
   group.cause = cause;
   group.survey.clear();
   group.asked.clear();
@@ -201,7 +201,7 @@
   }
   group.refused.clear();
   if (best.empty()) {
-    hooks_.decided("no_candidate", name, "", group.cause);
+    hooks_.log_decision("no_candidate", name, "", group.cause);
     group.failing_since.reset();
     group.failures = 0;
     EnterPhase(now, group, Phase::kMonitoring);
@@ -216,9 +216,10 @@
   group.send_count = 0;
   group.next_send_at = now;
   EnterPhase(now, group, Phase::kOrdering);
-  hooks_.decided("promotion_ordered", name, best,
-                 group.cause + ", position " + std::to_string(highest.term) +
-                     "." + std::to_string(highest.number));
+  hooks_.log_decision("promotion_ordered", name, best,
+                      group.cause + ", position " +
+                          std::to_string(highest.term) + "." +
+                          std::to_string(highest.number));
   SendOrder(now, name, group);
 }
 
@@ -291,7 +292,7 @@
       group.failures = 0;
       if (group.phase != Phase::kConfirming)
         return;
-      hooks_.decided("promotion_in_force", name, endpoint, group.cause);
+      hooks_.log_decision("promotion_in_force", name, endpoint, group.cause);
       return EnterPhase(now, group, Phase::kMonitoring);
     case ProbeResult::Kind::kFollows:
       if (group.phase != Phase::kMonitoring)
--- a/fleet/tests/controller_test.cc
+++ b/fleet/tests/controller_test.cc
@@ -57,7 +57,8 @@
     };
     hooks.probe = [](const auto&, ProbePurpose) {};
     hooks.promote = [](const auto&) {};
-    hooks.decided = [this](const std::string& event, const auto&, const auto&) {
+    hooks.log_decision = [this](const std::string& event, const auto&,
+                                const auto&) {
       reserve_grants += event == "reserve_given_out" ? 1 : 0;
     };
     nodes[name] = std::make_unique<Controller>(now, options, disks[name],
--- a/fleet/tests/planners_test.cc
+++ b/fleet/tests/planners_test.cc
@@ -38,7 +38,8 @@
     hooks.promote = [this](const auto& order) { orders.push_back(order); };
     hooks.assigned = [this](const auto& order) { assigned.push_back(order); };
     hooks.request_contacts = [this] { ++contact_requests; };
-    hooks.decided = [](const auto&, const auto&, const auto&, const auto&) {};
+    hooks.log_decision = [](const auto&, const auto&, const auto&,
+                            const auto&) {};
     planner = std::make_unique<FailoverPlanner>(now, 3, &directory, hooks);
     planner->SetGroups(now, {"g"});
     planner->Tick(now);
--- a/programs/goldcrestd/controller_service.cc
+++ b/programs/goldcrestd/controller_service.cc
@@ -138,8 +138,9 @@
   hooks.promote = [this](const messages::PrimaryAssignment& assignment) {
     Promote(assignment);
   };
-  hooks.decided = [this](const std::string& event, const std::string& subject,
-                         const std::string& cause) {
+  hooks.log_decision = [this](const std::string& event,
+                              const std::string& subject,
+                              const std::string& cause) {
     counters_.GetCounter("goldcrest_decisions_total", {{"event", event}}).Add();
     log_.LogEvent(event, {{"subject", subject}, {"cause", cause}});
   };
--- a/programs/goldcrestd/entry_service.cc
+++ b/programs/goldcrestd/entry_service.cc
@@ -127,7 +127,7 @@
     it->second.socket->Close();
     endpoint_connections_.erase(it);
   };
-  hooks.decided = [this](const statements::Decision& decision) {
+  hooks.log_decision = [this](const statements::Decision& decision) {
     counters_
         .GetCounter("goldcrest_decisions_total", {{"event", decision.event}})
         .Add();
--- a/statements/include/goldcrest/statements/statement_proxy.h
+++ b/statements/include/goldcrest/statements/statement_proxy.h
@@ -40,7 +40,7 @@
   std::function<void(ConnectionId, const ConnectionTarget&)> open;
   std::function<void(ConnectionId, const std::vector<EndpointCommand>&)> send;
   std::function<void(ConnectionId)> close;
-  std::function<void(const Decision&)> decided;
+  std::function<void(const Decision&)> log_decision;
   //! One operation has ended.
   std::function<void(const routing::Route&, Outcome, Duration)> completed;
 };
--- a/statements/src/proxy_answers.cc
+++ b/statements/src/proxy_answers.cc
@@ -99,8 +99,8 @@
                                               const std::string& event,
                                               const std::string& cause,
                                               Duration age) {
-  hooks_.decided({event, "", connection.group, connection.endpoint, cause, age,
-                  Version()});
+  hooks_.log_decision({event, "", connection.group, connection.endpoint, cause,
+                       age, Version()});
 }
 
 void StatementProxy::RecordPrimaryAnswer(Time now,
--- a/statements/src/proxy_sessions.cc
+++ b/statements/src/proxy_sessions.cc
@@ -86,7 +86,7 @@
     Answer answer;
     answer.outcome = Outcome::kBusy;
     answer.message = "no configuration yet; retry after 500 ms";
-    hooks_.decided({"session_refused", "", "", "", answer.message, {}, 0});
+    hooks_.log_decision({"session_refused", "", "", "", answer.message, {}, 0});
     hooks_.answer(start.session, answer);
     hooks_.close_session(start.session);
   }
@@ -377,7 +377,7 @@
   decision.cause = cause;
   decision.configuration_version = Version();
   decision.customer = session.customer;
-  hooks_.decided(decision);
+  hooks_.log_decision(decision);
 }
 
 }  // namespace goldcrest::statements
--- a/statements/src/proxy_updates.cc
+++ b/statements/src/proxy_updates.cc
@@ -28,7 +28,7 @@
       decision.cause = std::to_string(customer.rate_per_second) +
                        " a second, burst " + std::to_string(customer.burst);
       decision.configuration_version = table.version;
-      hooks_.decided(decision);
+      hooks_.log_decision(decision);
       holder_.SetLimit(customer.name, limit);
     }
     if (it != before.end())
@@ -42,13 +42,13 @@
   if (table_ && table->version <= table_->version)
     return;
   SetLimits(*table);
-  hooks_.decided({"configuration_applied",
-                  "",
-                  "",
-                  "",
-                  "was version " + std::to_string(Version()),
-                  {},
-                  table->version});
+  hooks_.log_decision({"configuration_applied",
+                       "",
+                       "",
+                       "",
+                       "was version " + std::to_string(Version()),
+                       {},
+                       table->version});
   table_ = std::move(table);
   for (const PendingSessionStart& start :
        std::exchange(pending_session_starts_, {}))
@@ -60,13 +60,13 @@
   if (directory_.Apply(now, record) !=
       routing::EndpointDirectory::MergeResult::kChanged)
     return;
-  hooks_.decided({"endpoint_changed",
-                  "",
-                  record.group,
-                  record.endpoint,
-                  routing::DescribeState(record),
-                  {},
-                  Version()});
+  hooks_.log_decision({"endpoint_changed",
+                       "",
+                       record.group,
+                       record.endpoint,
+                       routing::DescribeState(record),
+                       {},
+                       Version()});
   DispatchGroup(now, record.group);
 }
 
--- a/statements/tests/proxy_fixture.cc
+++ b/statements/tests/proxy_fixture.cc
@@ -22,7 +22,7 @@
     sent[id].insert(sent[id].end(), commands.begin(), commands.end());
   };
   hooks.close = [this](ConnectionId id) { closed.push_back(id); };
-  hooks.decided = [](const Decision&) {};
+  hooks.log_decision = [](const Decision&) {};
   hooks.completed = [](const routing::Route&, Outcome, Duration) {};
   ProxyOptions options;
   options.zone = "z1";
