--- a/quota/include/goldcrest/quota/owner.h
+++ b/quota/include/goldcrest/quota/owner.h
@@ -106,7 +106,8 @@
     Time refilled_at;
     std::int64_t smoothed_fill_permille = 0;  // rises slowly, falls at once
     std::map<ShareKey, Share> shares;
-    std::set<std::pair<Time, ShareKey>> waiting;  // by wanted_since
+    // Shares with wanted_micros above 0, ordered by wanted_since.
+    std::set<std::pair<Time, ShareKey>> waiting;
     Totals held;
     Time next_expiry = kNever;  // no share expires earlier
   };
